--- a/tests/jobs/test_listing_moments.py
+++ b/tests/jobs/test_listing_moments.py
@@ -79,3 +79,45 @@
     moments = ListingMoments(job_of("a", "b", desired=2), set(), math.inf)
     moments.finished("a")
     assert await returns(moments)
+
+
+async def test_shortly_before_its_likely_end_nothing_is_listed(monkeypatch):
+    """Its reader would pause just when the step ends."""
+    monkeypatch.setattr(listing_moments, "SELDOM_LISTED_S", 0.05)
+    monkeypatch.setattr(listing_moments, "QUIET_S", 0.4)
+    likely_end_at = time.monotonic() + 0.4
+    moments = ListingMoments(job_of("a", "b", desired=2), set(), math.inf, likely_end_at)
+    moments.finished("a")
+    assert not await returns(moments)
+    moments.finished("b")
+    assert await returns(moments), "the step may end"
+
+
+async def test_a_step_that_takes_longer_than_is_likely_is_listed_again(monkeypatch):
+    monkeypatch.setattr(listing_moments, "SELDOM_LISTED_S", 0.05)
+    likely_end_at = time.monotonic() - 1.0
+    moments = ListingMoments(job_of("a", "b", desired=2), set(), math.inf, likely_end_at)
+    moments.finished("a")
+    assert await returns(moments)
+
+
+async def test_late_groups_are_not_listed_within_the_readers_pause(monkeypatch):
+    monkeypatch.setattr(listing_moments, "READER_PAUSE_S", LONG_S)
+    moments = ListingMoments(job_of("a", "b", "c", "d", desired=4), set(), time.monotonic())
+    moments.finished("a")
+    assert await returns(moments)
+    moments.finished("b")
+    assert not await returns(moments), "its reader would not see it sooner"
+    moments.finished("c")
+    moments.finished("d")
+    assert await returns(moments), "the step may end"
+
+
+async def test_the_end_is_told_once():
+    told = []
+    moments = ListingMoments(
+        job_of("a", "b", "c", desired=2), set(), math.inf, None, lambda: told.append(1)
+    )
+    for group in ("a", "b", "c"):
+        moments.finished(group)
+    assert told == [1]
