--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -10,7 +10,6 @@
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.scoring import ItemScorer
-from crankseam.jobs.step_seconds import StepSeconds
 
 DEFAULT_QUEUE_S = 60.0
 DEFAULT_ATTEMPTS = 1
@@ -30,7 +29,6 @@
         self._find_route = parts.find_route
         self._scorer = scorer
         self.item_seconds = ItemSeconds()
-        self.step_seconds = StepSeconds()
 
     def longest_queue_s(self, job: JobDefinition) -> float:
         """How long after its job was submitted an item may be given up."""
--- a/src/crankseam/jobs/listing_moments.py
+++ b/src/crankseam/jobs/listing_moments.py
@@ -2,18 +2,16 @@
 
 A trainer reads about twice a second, and a read that waits is answered by whatever is listed first:
 so each listing that does not end its step may cost it half a second before it sees the one that
-does. Until the groups that it waits for are whole, results are therefore listed seldom, not at all
-shortly before the step is likely to end, and the moment it may, at once.
+does. Until the groups that it waits for are whole, results are therefore listed seldom, and the
+moment they are, at once.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import math
 import time
 from collections import Counter
-from collections.abc import Callable
 
 from crankseam.jobs.model import JobDefinition
 
@@ -21,12 +19,6 @@
 """Results made within this time are listed by one write while the step can't end by them."""
 GROUP_LISTED_S = 0.08
 """Once it can, results that complete a group are listed after this."""
-READER_PAUSE_S = 0.5
-"""A reader comes back so long after it was answered: what is listed sooner it does not see sooner,
-and a step that ends within this time after a listing ends for its reader only after it."""
-QUIET_S = 0.7
-"""From so long before the earliest likely end of its step nothing is listed, until the end, or until
-results have stayed unlisted for long after it: the reader's pause, and what its last read takes."""
 SINGLE_LISTED_S = 0.25
 """The same for jobs whose items have no groups: each counts by itself."""
 
@@ -39,21 +31,10 @@
 
     listed : ids of the items that have their results already.
     due_at : monotonic time from which on whole groups count less: each is listed soon.
-    likely_end_at : monotonic time of the earliest likely end; None if nothing is known of it.
-    on_may_end : called when the groups that the step waits for are whole.
     """
 
-    def __init__(
-        self,
-        job: JobDefinition,
-        listed: set[str],
-        due_at: float,
-        likely_end_at: float | None = None,
-        on_may_end: Callable[[], None] = lambda: None,
-    ) -> None:
+    def __init__(self, job: JobDefinition, listed: set[str], due_at: float) -> None:
         self._due_at = due_at
-        self._likely_end_at = likely_end_at
-        self._on_may_end = on_may_end
         self._has_groups = any(item.group for item in job.items)
         self._unfinished_of = Counter(item.group for item in job.items if item.id not in listed)
         """Items without a result by group."""
@@ -75,9 +56,8 @@
             self._note_whole()
 
     def _note_whole(self) -> None:
-        if self._whole >= self._wanted and not self._step_may_end.is_set():
+        if self._whole >= self._wanted:
             self._step_may_end.set()
-            self._on_may_end()
 
     async def wait(self) -> None:
         """Return when what is finished is to be listed; at least one result is."""
@@ -98,17 +78,7 @@
                 await asyncio.sleep(GROUP_LISTED_S)
 
     async def _wait_for_step(self) -> None:
-        now = time.monotonic()
-        next_at = now + SELDOM_LISTED_S
-        if self._likely_end_at is not None:
-            quiet_at = self._likely_end_at - QUIET_S
-            quiet_until = self._likely_end_at + SELDOM_LISTED_S
-            if quiet_at < next_at < quiet_until:
-                next_at = quiet_at if quiet_at >= now + READER_PAUSE_S else quiet_until
-        await self._wait_to_end(min(next_at, self._due_at) - now)
-
-    async def _wait_to_end(self, longest_s: float) -> None:
-        """Wait until the step may end, for so long at most."""
+        longest_s = min(SELDOM_LISTED_S, max(0.0, self._due_at - time.monotonic()))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, longest_s)):
+            async with asyncio.timeout(longest_s):
                 await self._step_may_end.wait()
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -70,7 +70,7 @@
         self._pending: list[ItemResult] = []
         self._group_of = {item.id: item.group for item in job.items}
         due_at = self._started_at + maker.due_s(job)
-        self._moments = self._make_moments(due_at, is_fresh=not listed)
+        self._moments = ListingMoments(job, self._listed_ids, due_at)
         self._listed_more = asyncio.Event()
         self._listing_since: float | None = None
         """Time of promises of the first call of a listing that may have taken effect unseen."""
@@ -81,17 +81,6 @@
         for result in self._unlisted(finished):
             self._finish(result)
 
-    def _make_moments(self, due_at: float, is_fresh: bool) -> ListingMoments:
-        """When to list; what is learned of the step's length only if all of it ran here."""
-        earliest_s = self._maker.step_seconds.earliest_s(self.job.model)
-        likely_end_at = None if earliest_s is None else self._started_at + earliest_s
-        on_may_end = self._learn_length if is_fresh else lambda: None
-        return ListingMoments(self.job, self._listed_ids, due_at, likely_end_at, on_may_end)
-
-    def _learn_length(self) -> None:
-        seconds = time.monotonic() - self._started_at
-        self._maker.step_seconds.ended(self.job.model, seconds)
-
     def is_listed(self, item_id: str) -> bool:
         """Whether the item has its result."""
         return item_id in self._listed_ids
