--- a/src/crankseam/cluster/configuration_lease.py
+++ b/src/crankseam/cluster/configuration_lease.py
@@ -1,9 +1,17 @@
-"""The lease under which a node serves a configuration revision.
-
-A region's configuration register is a replicated record that names the newest revision. A node
-may serve under a revision for one term after a majority of the register's replicas was known to
-hold nothing newer. A revision written to the register is therefore in force on every node of the
-region one term later, also on those that were cut off: they have stopped taking new work.
+"""May this node serve now, and under which configuration revision?
+
+Inputs: readings of the region's configuration register, a replicated record that names the newest
+revision; each with the time at which it was asked for (seconds of the clock of promises), at most
+one term old to count.
+Rule: a node may take new work for one term, less a margin, after a majority of the register's
+replicas was asked and held nothing newer, and only while it has the newest revision it read of.
+It never goes back to an older revision.
+Protects: a revision in the register is in force on every node of the region one term later, also on
+those that are cut off: they have stopped taking new work. An outage of the key-value service
+changes nothing, since the register does not live there.
+Shown by: the problem "this node cannot confirm its configuration", `configuration_lease_seconds`,
+`/readyz`. Held by: tests/cluster/test_configuration_lease.py. The term and margin are settings
+(`timing.configuration_term`, `timing.clock_margin`); docs/design/05-configuration.md weighs them.
 """
 
 from __future__ import annotations
@@ -23,18 +31,25 @@
 
 @dataclass(frozen=True)
 class RegisterReading:
-    """A majority's answer, and when the question was put (time of promises)."""
+    """A majority's answer, and when the question was put (seconds of the clock of promises)."""
 
     revision: int
     asked_at: float
 
+    def is_better_than(self, other: RegisterReading) -> bool:
+        """Whether it counts over `other`: readings may arrive out of order; a newer revision always
+        counts, an older one never."""
+        return (self.revision, self.asked_at) > (other.revision, other.asked_at)
+
 
 class ConfigurationLease:
     """What this node may serve under, and until when.
 
-    Args:
-        term: seconds from a reading to the end of the lease it supports.
-        margin: seconds by which this node gives up earlier.
+    Parameters
+    ==========
+
+    term : seconds from a reading to the end of the lease it supports.
+    margin : seconds by which this node gives up earlier.
     """
 
     def __init__(
@@ -53,12 +68,9 @@
         self._listeners.append(listener)
 
     def confirm(self, reading: ConfigurationReading, asked_at: float) -> None:
-        """Take a reading that is `reading.age` old, seen from when this node asked for it."""
+        """Take a reading that was `reading.age` seconds old when this node asked for it."""
         taken = RegisterReading(reading.revision, asked_at - reading.age)
-        # Readings may arrive out of order; a newer revision always counts, an older one never.
-        if taken.revision < self._reading.revision:
-            return
-        if taken.revision > self._reading.revision or taken.asked_at > self._reading.asked_at:
+        if taken.is_better_than(self._reading):
             self._reading = taken
 
     def install(self, stored: StoredSnapshot) -> None:
--- a/src/crankseam/cluster/known_peers.py
+++ b/src/crankseam/cluster/known_peers.py
@@ -1,4 +1,8 @@
-"""Remembers peers in the data folder, for first contact when seeds and machine list fail."""
+"""Remembers peers in the data folder, for first contact when seeds and machine list fail.
+
+Owns one file, which is replaced as a whole. Nothing relies on it: the addresses may be old and are
+only tried.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +15,7 @@
 
 FILE_NAME = "known-peers.json"
 MAX_PEERS = 50
+"""Addresses kept; first contact tries ten of all. Origin not recorded."""
 
 
 class KnownPeers:
--- a/src/crankseam/cluster/stall_guard.py
+++ b/src/crankseam/cluster/stall_guard.py
@@ -1,7 +1,13 @@
-"""Notices that this process was stopped for a while, so that it does not act on an old view.
+"""Whether this process may act on what it knows: was it stopped for a while since it last heard?
 
-A process that was paused and wakes goes on in the middle of whatever it did, with a view of back
-ends from before the pause. Until it has heard from others again it must send nothing new.
+Inputs: ticks of the event loop each `TICK_S` and when a question was asked that others answered
+(seconds of the clock of promises, which also counts the time for which a machine was suspended).
+Rule: a gap of more than `longest` between two ticks makes the view stale; it is fresh again once
+others answered what was asked after the gap was seen.
+Protects: back ends that left meanwhile, from work sent by a process that wakes in the middle of
+whatever it did.
+Shown by: the problem "this node was cut off or stopped". Held by: tests/cluster/test_membership.py,
+tests/requests/test_app_requests.py.
 """
 
 from __future__ import annotations
@@ -11,14 +17,18 @@
 
 from crankseam import clocks
 
-TICK_SECONDS = 0.1
+TICK_S = 0.1
+"""A fifth of the shortest stall that counts (`timing.longest_stall`, 0.5 s). Origin not
+recorded."""
 
 
 class StallGuard:
     """Fresh while the event loop runs on time; stale from a stall until the view is renewed.
 
-    Args:
-        longest: seconds without a tick that count as a stall.
+    Parameters
+    ==========
+
+    longest : seconds without a tick above which it counts as a stall.
     """
 
     def __init__(self, longest: float, clock: Callable[[], float] = clocks.promised_s) -> None:
@@ -29,7 +39,7 @@
         self._stall_seen_at = float("-inf")
 
     def tick(self) -> None:
-        """Must be called every TICK_SECONDS."""
+        """Must be called every TICK_S."""
         self._look()
         self._ticked_at = self._clock()
 
@@ -53,5 +63,5 @@
     async def run(self) -> None:
         """Tick until cancelled."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_S)
             self.tick()
