--- a/src/crankseam/cluster/digest.py
+++ b/src/crankseam/cluster/digest.py
@@ -1,8 +1,9 @@
 """A node's table of what is known of members, back ends and replica sets, with versions.
 
-Every accepted change raises the table's version, so that another node can ask for what changed
-since the version it has. Order between two reports of the same thing lies in the reports
-themselves, so that it does not matter on which way they arrived.
+Owns the newest entry of each; every accepted change raises the table's version, so that another
+node can ask for what changed since the version it has. Order between two entries of one thing lies
+in the entries themselves, so that it does not matter on which way they arrived. Relies on its
+callers to bring news; it asks nobody.
 """
 
 from __future__ import annotations
@@ -18,8 +19,27 @@
 
 T = TypeVar("T")
 
-DEAD_MEMBER_RETENTION = 3600.0
-"""Seconds for which a dead member's entry is kept, so that late news of it is recognised."""
+DEAD_MEMBER_RETENTION_S = 3600.0
+"""How long a dead member's entry is kept, so that late news of it is recognised. Origin not
+recorded."""
+
+
+@dataclass(frozen=True)
+class KnownVersion:
+    """Up to which version of another node's table its changes are known here.
+
+    Attributes
+    ==========
+
+    incarnation : run of that node; another run counts its versions from 0 again.
+    """
+
+    incarnation: int
+    version: int
+
+
+NOTHING_KNOWN = KnownVersion(0, 0)
+"""Of a node that was never asked."""
 
 
 def _placement(member: Member) -> tuple[int, int, str, str]:
@@ -134,7 +154,8 @@
             self._pulses[zone] = _Versioned((zone, pulse), self._bump(), self._clock())
 
     def zone_silence(self, zone: str) -> float:
-        """Seconds since news of the zone came; 0 for a zone that no node is in."""
+        """Seconds since news of the zone came: 0 for a zone that no node is in, infinite for one
+        whose first news has not come."""
         known = self._pulses.get(zone)
         if known is not None:
             return self._clock() - known.changed_at
@@ -233,7 +254,7 @@
         now = self._clock()
         for name, known in list(self._members.items()):
             is_dead = known.item.status == MemberStatus.DEAD
-            if is_dead and now - known.changed_at > DEAD_MEMBER_RETENTION:
+            if is_dead and now - known.changed_at > DEAD_MEMBER_RETENTION_S:
                 del self._members[name]
                 self.alive_version += 1
         for key, report in list(self._reports.items()):
--- /dev/null
+++ b/src/crankseam/cluster/local_member.py
@@ -0,0 +1,64 @@
+"""The entry under which the other nodes know this process.
+
+Owns the entry and its sequence: each change raises the sequence, so that the others take the newer
+one. Relies on the digest table to keep and spread it. A process that hears of its own death answers
+with a higher sequence.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from crankseam.cluster.digest import DigestTable, MemberStatus
+from crankseam.peers.messages import BackEndReport, Member
+
+
+class LocalMember:
+    """This process as a member, from the moment at which its addresses are known."""
+
+    def __init__(self, entry: Member, digest: DigestTable) -> None:
+        self.entry = entry
+        self._digest = digest
+        digest.learn_member(entry)
+        digest.on_change(self._refute_death)
+
+    @property
+    def name(self) -> str:
+        """Name of the node."""
+        return self.entry.name
+
+    @property
+    def incarnation(self) -> int:
+        """Number of this run of the node."""
+        return self.entry.incarnation
+
+    @property
+    def is_leaving(self) -> bool:
+        """Whether a planned stop has begun."""
+        return self.entry.status == MemberStatus.LEAVING
+
+    def update(
+        self,
+        status: int | None = None,
+        revision: int | None = None,
+        caller_address: str | None = None,
+    ) -> None:
+        """Change what the others are told; None leaves a field as it is."""
+        old = self.entry
+        self.entry = msgspec.structs.replace(
+            old,
+            sequence=old.sequence + 1,
+            status=old.status if status is None else status,
+            revision=old.revision if revision is None else revision,
+            caller_address=old.caller_address if caller_address is None else caller_address,
+        )
+        self._digest.learn_member(self.entry)
+
+    def _refute_death(self, _change: Member | BackEndReport) -> None:
+        """Answer news of this process's own death with a higher sequence."""
+        known = self._digest.member(self.name)
+        if known is None or known == self.entry:
+            return
+        if known.incarnation == self.incarnation and known.sequence >= self.entry.sequence:
+            self.entry = msgspec.structs.replace(self.entry, sequence=known.sequence)
+            self.update()
--- a/src/crankseam/controllers/configuration_follower.py
+++ b/src/crankseam/controllers/configuration_follower.py
@@ -68,12 +68,12 @@
     async def _publish(self, encoded: bytes) -> None:
         pointer = msgspec.json.decode(encoded, type=Pointer)
         if pointer.revision <= self._published:
-            register = await self._agent.read_register()
+            register = await self._agent.register.read_revision()
             if register >= pointer.revision:
                 return  # anything less: the register was founded anew
         documents = [await self._part(address) for address in pointer.parts.values()]
         stored = StoredSnapshot(pointer, documents)
-        await self._agent.publish_snapshot(stored)
+        await self._agent.register.publish(stored)
         self._published = pointer.revision
         self._parts = {address: self._parts[address] for address in pointer.parts.values()}
         log.info("revision in the register", extra={"revision": pointer.revision})
--- a/src/crankseam/decisions.py
+++ b/src/crankseam/decisions.py
@@ -78,7 +78,9 @@
 
     def new_id(self) -> str:
         """An id that names its maker."""
-        return f"{self._agent.settings.name}.{self._agent.incarnation:x}.{next(self._numbers)}"
+        return (
+            f"{self._agent.settings.name}.{self._agent.local.incarnation:x}.{next(self._numbers)}"
+        )
 
     def record(self, decision: Decision) -> None:
         """Keep a decision and have it copied with the next batch."""
--- a/src/crankseam/node.py
+++ b/src/crankseam/node.py
@@ -9,7 +9,6 @@
 from typing import Protocol
 
 import aiohttp
-import msgspec
 from aiohttp import web
 
 from crankseam.back_end_probe import BackEndProbe
@@ -32,7 +31,6 @@
 from crankseam.errors import Problem
 from crankseam.metrics import NodeMetrics
 from crankseam.operator_api import OperatorApi
-from crankseam.peers.messages import Member
 from crankseam.peers.transport import PeerTransport
 from crankseam.problems import problem_response
 from crankseam.requests.claim import ClaimFilter, RefusalFilter, RequestClaims
@@ -103,8 +101,8 @@
         await site.start()
         assert site._server is not None
         self.caller_port = site._server.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
-        self.agent.own = self._with_caller_address()
-        self.agent.update_own()
+        caller_address = f"{self.settings.listen_host}:{self.caller_port}"
+        self.agent.local.update(caller_address=caller_address)
         self._start_controllers()
         log.info("node started", extra={"identity": self.agent.identity})
 
@@ -116,10 +114,6 @@
         )
         await self.agent.start(transport, caller_address="")
 
-    def _with_caller_address(self) -> Member:
-        address = f"{self.settings.listen_host}:{self.caller_port}"
-        return msgspec.structs.replace(self.agent.own, caller_address=address)
-
     def _build(self, app: web.Application) -> None:
         """Make the parts, from what others need to what needs others."""
         self._build_controllers()
@@ -291,7 +285,7 @@
         self._stopping = True
         self.admission.draining = True
         self.rollout.draining = True
-        self.agent.update_own(status=MemberStatus.LEAVING)
+        self.agent.local.update(status=MemberStatus.LEAVING)
         self.agent.membership.nudge()
         log.info("planned stop begins", extra={"running": self.admission.running})
         await self.weights.release()
