--- a/src/crankseam/node.py
+++ b/src/crankseam/node.py
@@ -30,7 +30,7 @@
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import Problem
 from crankseam.metrics import NodeMetrics
-from crankseam.operator_api import OperatorApi
+from crankseam.operator_api import OperatorApi, ShownParts
 from crankseam.peers.transport import PeerTransport
 from crankseam.problems import problem_response
 from crankseam.requests.claim import ClaimFilter, RefusalFilter, RequestClaims
@@ -179,11 +179,23 @@
         app.middlewares.append(self._answer_problems)
         app.router.add_route("*", "/services/{service}/{path:.*}", self._handle_service)
         self.rollout.add_routes(app)
-        OperatorApi(self).add_routes(app)
+        OperatorApi(self._shown_parts()).add_routes(app)
         if self.settings.data_folder is not None:
             cache = WeightsCache(self.settings.data_folder, self._session, self.agent.lease)
             cache.add_routes(app)
 
+    def _shown_parts(self) -> ShownParts:
+        return ShownParts(
+            agent=self.agent,
+            is_ready=self.is_ready,
+            metrics=self.metrics,
+            admission=self.admission,
+            placement=self.placement,
+            quarantine=self.suspects.quarantine,
+            router=self.router,
+            decisions=self.decisions,
+        )
+
     def _start_controllers(self) -> None:
         agent = self.agent
         controllers: dict[str, Controller] = {
--- a/src/crankseam/operator_api.py
+++ b/src/crankseam/operator_api.py
@@ -1,30 +1,58 @@
-"""HTTP paths for operators and probes: status, explain, metrics, health."""
+"""HTTP paths for operators and probes: status, explain, metrics, health.
+
+Owns the paths and the form of their answers. Relies on the parts of the node that it shows; it
+changes nothing but a suspect that an operator releases, which is then so at every node.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 from aiohttp import web
 
 from crankseam import clocks
+from crankseam.cluster.agent import ClusterAgent
 from crankseam.cluster.digest import MemberStatus
+from crankseam.controllers.replica_placement import ReplicaPlacementController
+from crankseam.decisions import DecisionLog
 from crankseam.errors import Forbidden, NotFound
-from crankseam.quarantine.quarantine import BY_OPERATOR
-
-if TYPE_CHECKING:
-    from crankseam.node import Node
+from crankseam.metrics import NodeMetrics
+from crankseam.quarantine.quarantine import BY_OPERATOR, Quarantine
+from crankseam.requests.limits import AdmissionFilter
+from crankseam.routing import Router
 
 OPERATOR_PREFIX = "/operator/"
 RequestHandler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
+@dataclass(frozen=True)
+class ShownParts:
+    """What of a node operators can look at.
+
+    Attributes
+    ==========
+
+    is_ready : whether the node takes new work now.
+    """
+
+    agent: ClusterAgent
+    is_ready: Callable[[], bool]
+    metrics: NodeMetrics
+    admission: AdmissionFilter
+    placement: ReplicaPlacementController
+    quarantine: Quarantine
+    router: Router
+    decisions: DecisionLog
+
+
 class OperatorApi:
-    """Operators change files, never single machines; what is released is so at every node."""
+    """Answers operators and probes."""
 
-    def __init__(self, node: Node) -> None:
-        self._node = node
+    def __init__(self, parts: ShownParts) -> None:
+        self._parts = parts
 
     def add_routes(self, app: web.Application) -> None:
         """Register the paths."""
@@ -43,7 +71,7 @@
     ) -> web.StreamResponse:
         """Where operators have keys, their paths are for callers that showed one."""
         guarded = request.path.startswith(OPERATOR_PREFIX)
-        if guarded and self._node.settings.tls.operators_authority is not None:
+        if guarded and self._parts.agent.settings.tls.operators_authority is not None:
             transport = request.transport
             if transport is None or not transport.get_extra_info("peercert"):
                 raise Forbidden("an operator's key is needed here")
@@ -53,32 +81,32 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, _request: web.Request) -> web.Response:
-        ready = self._node.is_ready()
+        ready = self._parts.is_ready()
         return web.Response(
             text="ready\n" if ready else "not ready\n", status=200 if ready else 503
         )
 
     async def _metrics(self, _request: web.Request) -> web.Response:
-        node = self._node
+        parts, agent = self._parts, self._parts.agent
         values = {
-            "configuration_revision": node.agent.lease.snapshot.revision,
-            "configuration_lease_seconds": max(0.0, node.agent.lease.remaining()),
-            "members_alive": len(node.agent.digest.alive()),
-            "records": node.agent.replicas.record_count(),
-            "record_operations": node.agent.replicas.operations,
-            "requests_running": node.admission.running,
-            "peer_bytes_sent": node.agent.transport.current_bytes_out(),
-            "peer_frames_sent": node.agent.transport.traffic.frames_out,
-            "key_value_requests": node.key_value.requests_sent,
-            "slot_moves": node.placement.moves,
-            "suspects": len(node.suspects.quarantine.suspects()),
+            "configuration_revision": agent.lease.snapshot.revision,
+            "configuration_lease_seconds": max(0.0, agent.lease.remaining()),
+            "members_alive": len(agent.digest.alive()),
+            "records": agent.replicas.record_count(),
+            "record_operations": agent.replicas.operations,
+            "requests_running": parts.admission.running,
+            "peer_bytes_sent": agent.transport.current_bytes_out(),
+            "peer_frames_sent": agent.transport.traffic.frames_out,
+            "key_value_requests": agent.key_value.requests_sent,
+            "slot_moves": parts.placement.moves,
+            "suspects": len(parts.quarantine.suspects()),
         }
         for name, value in values.items():
-            node.metrics.set_gauge(name, value)
-        return web.Response(body=node.metrics.render(), content_type="text/plain")
+            parts.metrics.set_gauge(name, value)
+        return web.Response(body=parts.metrics.render(), content_type="text/plain")
 
     async def _status(self, _request: web.Request) -> web.Response:
-        agent = self._node.agent
+        agent = self._parts.agent
         members = [
             {
                 "name": member.name,
@@ -91,8 +119,8 @@
             for member in sorted(agent.digest.members(), key=lambda m: m.name)
         ]
         body: dict[str, Any] = {
-            "node": self._node.settings.name,
-            "ready": self._node.is_ready(),
+            "node": agent.settings.name,
+            "ready": self._parts.is_ready(),
             "revision": agent.lease.snapshot.revision,
             "lease_seconds": round(max(0.0, agent.lease.remaining()), 3),
             "configuration_term": agent.settings.timing.configuration_term,
@@ -106,8 +134,7 @@
         return web.Response(body=msgspec.json.encode(body), content_type="application/json")
 
     def _back_ends(self) -> list[dict[str, Any]]:
-        node = self._node
-        snapshot = node.agent.lease.snapshot
+        snapshot = self._parts.agent.lease.snapshot
         groups = [(s.name, s.back_ends) for s in snapshot.services.values()]
         groups += [(p.name, p.samplers) for p in snapshot.pools.values()]
         return [
@@ -119,7 +146,7 @@
                 "out_of_routing": candidate.refused,
             }
             for name, back_ends in groups
-            for candidate in node.router.choose(name, back_ends).candidates
+            for candidate in self._parts.router.choose(name, back_ends).candidates
         ]
 
     async def _suspects(self, _request: web.Request) -> web.Response:
@@ -137,20 +164,20 @@
                 "held_for_s": round(suspect.held_for_s(), 1) if suspect.is_held() else 0.0,
                 "age_s": round(now - suspect.changed_at, 1),
             }
-            for fingerprint, suspect in self._node.suspects.quarantine.suspects()
+            for fingerprint, suspect in self._parts.quarantine.suspects()
         ]
         return web.Response(body=msgspec.json.encode(listed), content_type="application/json")
 
     async def _release_suspect(self, request: web.Request) -> web.Response:
         fingerprint = request.match_info["fingerprint"]
-        if not self._node.suspects.quarantine.release(fingerprint, BY_OPERATOR):
+        if not self._parts.quarantine.release(fingerprint, BY_OPERATOR):
             raise NotFound(f"no suspect of fingerprint {fingerprint} is known here")
         body = msgspec.json.encode({"fingerprint": fingerprint})
         return web.Response(body=body, content_type="application/json")
 
     async def _explain(self, request: web.Request) -> web.Response:
         wanted = request.match_info["id"]
-        found = await self._node.decisions.find(wanted)
+        found = await self._parts.decisions.find(wanted)
         if not found:
             raise NotFound(f"no decision is kept for {wanted}")
         return web.Response(body=msgspec.json.encode(found), content_type="application/json")
