--- a/src/crankseam/peers/transport.py
+++ b/src/crankseam/peers/transport.py
@@ -1,4 +1,8 @@
-"""Calls between nodes: length-prefixed frames on one TCP connection for each pair of nodes."""
+"""Calls between nodes: length-prefixed frames on one TCP connection for each pair of nodes.
+
+Owns the connections, the numbers that match answers to calls, and the count of what was sent.
+Relies on `messages` for the bytes of a frame and on the handlers that others register. A call ends
+with its answer or a PeerError; nothing is sent a second time."""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 import logging
 import ssl
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import TypeVar
 
 import msgspec
@@ -31,8 +35,10 @@
 
 M = TypeVar("M", bound=Message)
 
-CONNECT_TIMEOUT = 1.0
-HELLO_TIMEOUT = 5.0
+CONNECT_TIMEOUT_S = 1.0
+"""As long as a call of the default `timing.peer_timeout` may take. Origin not recorded."""
+HELLO_TIMEOUT_S = 5.0
+"""How long a new connection may take to say who calls. Origin not recorded."""
 MAX_CALLS_BEING_HANDLED = 1024
 """Per connection; further frames wait in the socket, which bounds memory."""
 
@@ -40,9 +46,11 @@
 async def read_frame(reader: asyncio.StreamReader) -> Frame:
     """Read one frame.
 
-    Raises:
-        FrameError: the bytes are no frame.
-        asyncio.IncompleteReadError: the connection ended.
+    Raises
+    ======
+
+    FrameError : the bytes are no frame.
+    asyncio.IncompleteReadError : the connection ended.
     """
     size = int.from_bytes(await reader.readexactly(4), "big")
     if not 0 < size <= MAX_FRAME_BYTES:
@@ -62,13 +70,11 @@
         self._queued: list[bytes] = []
         self.bytes_sent = 0
 
-    def send(self, frame: Frame) -> int:
-        """Queue a frame, which leaves at the end of this turn of the loop; returns its bytes."""
+    def send(self, frame: Frame) -> None:
+        """Queue a frame, which leaves at the end of this turn of the loop."""
         if not self._queued:
             asyncio.get_running_loop().call_soon(self._flush)
-        encoded = encode_frame(frame)
-        self._queued.append(encoded)
-        return len(encoded)
+        self._queued.append(encode_frame(frame))
 
     def _flush(self) -> None:
         data = b"".join(self._queued)
@@ -87,17 +93,8 @@
     """Bytes and frames of a node's peer connections since it started."""
 
     bytes_out: int = 0
-    bytes_in: int = 0
+    """Of closed connections; open ones count their own."""
     frames_out: int = 0
-    by_type: dict[str, int] = field(default_factory=dict)
-    bytes_by_type: dict[str, int] = field(default_factory=dict)
-
-    def count_out(self, message: AnyMessage, size: int) -> None:
-        """Count one message sent, of `size` bytes."""
-        self.frames_out += 1
-        name = type(message).__name__
-        self.by_type[name] = self.by_type.get(name, 0) + 1
-        self.bytes_by_type[name] = self.bytes_by_type.get(name, 0) + size
 
 
 class OutgoingConnection:
@@ -118,7 +115,7 @@
                 return self._writer
             host, _, port = self._address.rpartition(":")
             try:
-                async with asyncio.timeout(CONNECT_TIMEOUT):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(
                         host,
                         int(port),
@@ -141,7 +138,7 @@
                 if waiter is not None and not waiter.done():
                     waiter.set_result(frame.message)
         except (OSError, asyncio.IncompleteReadError, FrameError):
-            pass
+            pass  # each call that waits here raises PeerUnreachable, which its caller handles
         finally:
             self._break()
 
@@ -163,8 +160,8 @@
                 writer = self._writer or await self._connect()
                 waiter = asyncio.get_running_loop().create_future()
                 self._waiting[number] = waiter
-                size = writer.send(Frame(number, False, message))
-                self._transport.traffic.count_out(message, size)
+                writer.send(Frame(number, False, message))
+                self._transport.traffic.frames_out += 1
                 return await waiter
         except TimeoutError as error:
             raise PeerTimeout(self._address) from error
@@ -181,12 +178,14 @@
 class PeerTransport:
     """A node's side of all its peer connections.
 
-    Args:
-        node: this node's name.
-        incarnation: this process's incarnation.
-        local_address: (host, port 0) to call from, or None.
-        server_tls: returns the TLS context for listening, or None for plain TCP.
-        client_tls: returns the TLS context for calling, or None.
+    Parameters
+    ==========
+
+    node : this node's name.
+    incarnation : this process's incarnation.
+    local_address : (host, port 0) to call from, or None.
+    server_tls : returns the TLS context for listening, or None for plain TCP.
+    client_tls : returns the TLS context for calling, or None.
     """
 
     def __init__(
@@ -234,9 +233,11 @@
     async def call(self, address: str, message: Message, timeout: float) -> AnyMessage:
         """Send a message to the peer at `address` and return its answer.
 
-        Raises:
-            PeerUnreachable: no connection, it broke, or the peer refused the call.
-            PeerTimeout: no answer within `timeout` seconds.
+        Raises
+        ======
+
+        PeerUnreachable : no connection, it broke, or the peer refused the call.
+        PeerTimeout : no answer within `timeout` seconds.
         """
         connection = self._connections.get(address)
         if connection is None:
@@ -263,7 +264,7 @@
         self._incoming.add(frames)
         running = asyncio.Semaphore(MAX_CALLS_BEING_HANDLED)
         try:
-            async with asyncio.timeout(HELLO_TIMEOUT):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 first = await read_frame(reader)
             if not isinstance(first.message, Hello):
                 raise FrameError("no hello")
@@ -276,7 +277,7 @@
         except FrameError as error:
             log.warning("peer sent a bad frame", extra={"reason": str(error)})
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ssl.SSLError):
-            pass
+            pass  # the peer ended the connection; it connects again with its next call
         except asyncio.CancelledError:
             pass  # asyncio's server cancels these tasks at shutdown; nothing to undo
         finally:
@@ -302,7 +303,8 @@
         finally:
             running.release()
         if answer is not None and frame.call:
-            self.traffic.count_out(answer, writer.send(Frame(frame.call, True, answer)))
+            writer.send(Frame(frame.call, True, answer))
+            self.traffic.frames_out += 1
 
     def current_bytes_out(self) -> int:
         """Bytes sent so far, over closed and open connections."""
