--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -1,7 +1,8 @@
 """At most once: claims a request that may not be repeated before it is forwarded.
 
-`not_run` is a committed state. Whoever tells a caller `not_run` has first made a majority of the
-record's replicas agree that this attempt never ran and never will.
+Owns the reading and writing of a request's record around its forwarding, and the count of ends that
+are still being committed. Relies on `claim_rules` for what may be written over what and told to
+whom, and on the proposer for a majority's agreement.
 """
 
 from __future__ import annotations
@@ -14,43 +15,48 @@
 import msgspec
 
 from crankseam.cluster.agent import ClusterAgent
-from crankseam.constants import (
-    MAX_STORED_ANSWER_BYTES,
-    OUTCOME_NOT_RUN,
-    OUTCOME_RUN,
-    OUTCOME_UNKNOWN,
-)
+from crankseam.constants import MAX_STORED_ANSWER_BYTES, OUTCOME_NOT_RUN, OUTCOME_UNKNOWN
 from crankseam.errors import (
     BadRequest,
     IdentifierExpired,
-    OutcomeUnknown,
     Problem,
     RecordError,
     RecordExpired,
-    StillRunning,
     Unavailable,
 )
 from crankseam.records.proposer import OwnedBallot, RecordKey
+from crankseam.requests import retry_after
+from crankseam.requests.claim_rules import (
+    claim_over,
+    end_over,
+    is_claimed_by,
+    is_refused,
+    must_be_agreed,
+    problem_for,
+    refuse_over,
+)
 from crankseam.requests.context import Answer, Next, RequestContext
 from crankseam.requests.request_record import (
     RequestRecord,
     RequestState,
-    claim_over,
     decode_record,
     encode_record,
-    refuse_over,
 )
 
 log = logging.getLogger(__name__)
 
 REPLAYED_HEADER = "Crankseam-Replayed"
-RETRY_SECONDS = 1.0
 DIGEST_LENGTH = 16
-SETTLE_SECONDS = 5.0
-"""How long a node tries to commit how a request ended, after which it is left as claimed."""
-SETTLE_PATIENCE_SECONDS = 0.25
-"""How long the caller's answer waits for that; after it, the commit goes on behind the answer."""
-SETTLE_PAUSE = 0.1
+"""Hexadecimal digits kept of the SHA-256 that tells requests under one key apart: 64 bits. Shorter
+records; origin not recorded."""
+SETTLE_S = 5.0
+"""How long a node tries to commit how a request ended, after which it is left as claimed. Origin
+not recorded."""
+SETTLE_PATIENCE_S = 0.25
+"""How long the caller's answer waits for that; after it, the commit goes on behind the answer. Less
+than `timing.record_timeout` (0.7 s), so that a replica that is silent does not delay callers."""
+SETTLE_PAUSE_S = 0.1
+"""Between two tries. Origin not recorded."""
 
 
 @dataclass
@@ -104,15 +110,14 @@
         )
         assert value is not None
         agreed = decode_record(value)
-        is_own = agreed.claimant == record.claimant and agreed.attempt == record.attempt
-        if agreed.state == RequestState.CLAIMED and is_own:
+        if is_claimed_by(agreed, record):
             return HeldClaim(where, agreed, None)
         return agreed
 
     async def settle(self, claim: HeldClaim, final: RequestRecord) -> None:
         """Commit how a claimed request ended, in the background if it takes long."""
         work = self._agent.tasks.start(self._settle(claim, final), "settle request")
-        await asyncio.wait([work], timeout=SETTLE_PATIENCE_SECONDS)
+        await asyncio.wait([work], timeout=SETTLE_PATIENCE_S)
 
     async def _settle(self, claim: HeldClaim, final: RequestRecord) -> None:
         self.settling += 1
@@ -125,25 +130,25 @@
 
     async def _try_settling(self, claim: HeldClaim, encoded: bytes) -> bool:
         try:
-            async with asyncio.timeout(SETTLE_SECONDS):
+            async with asyncio.timeout(SETTLE_S):
                 if claim.owned is not None:
                     if await self._agent.proposer.overwrite(claim.where, claim.owned, encoded):
                         return True
                 return await self._settle_slowly(claim, encoded)
         except TimeoutError:
-            return False
+            return False  # logged by the caller
 
     async def _settle_slowly(self, claim: HeldClaim, encoded: bytes) -> bool:
         while True:
             try:
                 value = await self._agent.proposer.change(
-                    claim.where, lambda standing: _end_own_claim(standing, claim.record, encoded)
+                    claim.where, lambda standing: end_over(standing, claim.record, encoded)
                 )
                 return value == encoded
             except RecordExpired:
                 return False
             except RecordError:
-                await asyncio.sleep(SETTLE_PAUSE)
+                await asyncio.sleep(SETTLE_PAUSE_S)  # until SETTLE_S are over
 
     async def refuse(self, context: RequestContext) -> RequestRecord:
         """Commit `not_run` for this attempt; returns what is agreed, which may be another state.
@@ -164,29 +169,6 @@
         return decode_record(value)
 
 
-def _end_own_claim(standing: bytes | None, claim: RequestRecord, encoded: bytes) -> bytes | None:
-    if standing is None or standing == encoded:
-        return encoded
-    record = decode_record(standing)
-    is_own = record.claimant == claim.claimant and record.attempt == claim.attempt
-    return encoded if is_own and record.state == RequestState.CLAIMED else None
-
-
-def problem_for(record: RequestRecord, context: RequestContext) -> Problem | None:
-    """What to tell a caller whose request is in this state; None if its answer can be replayed."""
-    if record.state == RequestState.CLAIMED:
-        detail = "an earlier attempt was claimed and has not ended"
-        return StillRunning(detail, OUTCOME_UNKNOWN, RETRY_SECONDS)
-    if record.state == RequestState.UNKNOWN:
-        return OutcomeUnknown("it was forwarded and its answer was lost", OUTCOME_UNKNOWN)
-    if record.state == RequestState.NOT_RUN:
-        detail = "this attempt was not run; try again with a new Request-Id"
-        return Unavailable(detail, OUTCOME_NOT_RUN, RETRY_SECONDS)
-    if record.body is None:
-        return OutcomeUnknown("it ran; its answer was too large to keep", OUTCOME_RUN)
-    return None
-
-
 class ClaimFilter:
     """Claims before, and commits the end after, the filters that forward the request."""
 
@@ -204,7 +186,7 @@
         except RecordError as error:
             # The claim may hold although this node does not know it. It will not forward, and
             # tries to have that agreed, so that the caller can be told.
-            raise Unavailable(str(error), OUTCOME_NOT_RUN, RETRY_SECONDS)
+            raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_S)
         if isinstance(claim, RequestRecord):
             return self._answer_from(claim, context)
         return await self._forward(claim, context, following)
@@ -213,7 +195,7 @@
         if record.body_digest != self._claims.digest(context):
             detail = "the key was used for another request"
             raise BadRequest(detail, OUTCOME_UNKNOWN)
-        problem = problem_for(record, context)
+        problem = problem_for(record)
         if problem is not None:
             raise problem
         headers = {**record.headers, REPLAYED_HEADER: "true"}
@@ -236,11 +218,10 @@
     async def _settle_problem(
         self, claim: HeldClaim, context: RequestContext, problem: Problem
     ) -> None:
+        # If it was not forwarded, the refusal filter commits `not_run` over this own claim.
         if context.dispatched:
             problem.outcome = OUTCOME_UNKNOWN
             await self._settle_unknown(claim)
-            return
-        # Not forwarded: left to the refusal filter, which commits `not_run` over this own claim.
 
     async def _settle_unknown(self, claim: HeldClaim) -> None:
         final = msgspec.structs.replace(claim.record, state=RequestState.UNKNOWN)
@@ -280,18 +261,16 @@
     async def _check_outcome(self, context: RequestContext, problem: Problem) -> None:
         if context.dispatched and problem.outcome == OUTCOME_NOT_RUN:
             problem.outcome = OUTCOME_UNKNOWN
-        is_safe = context.service is not None and not context.must_not_repeat
-        if problem.outcome != OUTCOME_NOT_RUN or is_safe or context.idempotency_key is None:
+        if not must_be_agreed(context, problem.outcome):
             return
-        if context.is_foreign:
-            # Its record is out of reach: an earlier attempt may have run at home.
+        # In another region its record is out of reach: an earlier attempt may have run at home.
+        if context.is_foreign or not await self._is_agreed(context):
             problem.outcome = OUTCOME_UNKNOWN
-            return
+
+    async def _is_agreed(self, context: RequestContext) -> bool:
+        """Have `not_run` agreed for this attempt; whether it is."""
         try:
             agreed = await self._claims.refuse(context)
         except RecordError:
-            problem.outcome = OUTCOME_UNKNOWN
-            return
-        refused = agreed.state == RequestState.NOT_RUN
-        if not refused or context.request_id not in agreed.refused_attempts:
-            problem.outcome = OUTCOME_UNKNOWN
+            return False  # nothing is known to be agreed, and the caller is told so
+        return is_refused(agreed, context.request_id)
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -1,16 +1,18 @@
-"""Last step of the chain: choose a back end, send the request there, return its whole answer."""
+"""Last step of the chain: choose a back end, send the request there, return its whole answer.
+
+Owns the attempts of one request. Relies on the router for the choice, on `attempts` for whether
+another one may follow, on the quarantine for requests under which back ends ended, and on
+`may_send` for whether this node may act now; that is asked directly before the first byte."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 from collections.abc import Callable
 
 import aiohttp
 from aiohttp import web
 
 from crankseam.back_end_probe import BackEndProbe
-from crankseam.backoff import RetryBudget
 from crankseam.clients.address_probe import refuses_connections
 from crankseam.config.kinds import BackEnd
 from crankseam.constants import (
@@ -26,21 +28,18 @@
 from crankseam.quarantine.model import TrialSubject, name_of_end
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.trial import Send, Trial
+from crankseam.requests import retry_after
+from crankseam.requests.attempts import has_time, may_follow_lost_answer, new_retry_budget
 from crankseam.requests.context import Answer, RequestContext
 from crankseam.requests.headers import end_to_end_headers
 from crankseam.routing import Choice, Router
 from crankseam.serving.tenants import NO_TENANT
 
-log = logging.getLogger(__name__)
-
 CHUNK_BYTES = 64 * 1024
+"""An answer up to this size is passed on as a whole, a longer one in chunks. Origin not
+recorded."""
 SERVER_ERROR = 500
-MIN_REMAINING_SECONDS = 0.005
-"""A request with less time than this left is not forwarded any more."""
-RETRY_NO_BACK_END_SECONDS = 1.0
-RETRY_STALE_SECONDS = 1.0
-RETRY_RATIO = 0.1
-RETRY_RESERVE = 20.0
+"""From this status on an answer says that the back end failed on the request."""
 
 
 def _subject(context: RequestContext) -> TrialSubject:
@@ -61,12 +60,7 @@
 
 
 class Forwarder:
-    """Sends requests to back ends.
-
-    A back end that refuses the connection has provably not run the request, so another one may
-    be tried, within the retry budget. After the first byte was sent nothing is tried again,
-    unless the request may be repeated.
-    """
+    """Sends requests to back ends."""
 
     def __init__(
         self,
@@ -83,7 +77,7 @@
         self._may_send = may_send
         self._router = router
         self._decisions = decisions
-        self._budget = RetryBudget(RETRY_RATIO, RETRY_RESERVE)
+        self._budget = new_retry_budget()
 
     async def __call__(self, context: RequestContext) -> Answer:
         """Forward; raises Problem when there is no answer to give."""
@@ -102,7 +96,7 @@
             choice = self._choose(context, frozenset(tried))
             if choice.back_end is None:
                 detail = "no back end can take the request"
-                raise Unavailable(detail, OUTCOME_NOT_RUN, RETRY_NO_BACK_END_SECONDS)
+                raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.NO_BACK_END_S)
             if not await self._probe.may_get_work(choice.back_end):
                 tried.add(choice.back_end.name)
                 continue
@@ -112,12 +106,12 @@
             except _NotSent:
                 tried.add(choice.back_end.name)
             except OutcomeUnknown:
-                if context.must_not_repeat or context.answer_started or not trial.may_send():
+                if not may_follow_lost_answer(context, trial):
                     raise
                 tried.add(choice.back_end.name)
             if not self._budget.try_spend():
                 outcome = context.outcome_so_far()
-                raise Unavailable("retry budget spent", outcome, RETRY_NO_BACK_END_SECONDS)
+                raise Unavailable("retry budget spent", outcome, retry_after.NO_BACK_END_S)
 
     def _choose(self, context: RequestContext, tried: frozenset[str]) -> Choice:
         service = context.require_service()
@@ -148,11 +142,12 @@
         # Directly before the first byte: this process may have been stopped since the choice.
         if not self._may_send():
             outcome = context.outcome_so_far()
-            raise Unavailable("this node was cut off or stopped", outcome, RETRY_STALE_SECONDS)
+            raise Unavailable("this node was cut off or stopped", outcome, retry_after.STALE_VIEW_S)
         remaining = context.remaining()
-        if remaining < MIN_REMAINING_SECONDS:
+        if not has_time(remaining):
             outcome = context.outcome_so_far()
-            raise DeadlineExceeded("the deadline passed before it was forwarded", outcome, 1.0)
+            detail = "the deadline passed before it was forwarded"
+            raise DeadlineExceeded(detail, outcome, retry_after.PAST_DEADLINE_S)
         self._router.start(target)
         try:
             async with asyncio.timeout(remaining):
--- a/src/crankseam/requests/headers.py
+++ b/src/crankseam/requests/headers.py
@@ -1,4 +1,7 @@
-"""Which headers of a request or answer go on to the next hop."""
+"""Which headers of a request or answer go on to the next hop.
+
+Owns the list of those that do not; relies on nothing.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/requests/home_region.py
+++ b/src/crankseam/requests/home_region.py
@@ -1,4 +1,9 @@
-"""Passes a request on to its service's home region, whose nodes keep the request's record."""
+"""Passes a request on to its service's home region, whose nodes keep the request's record.
+
+Owns the header that marks a request as passed on once. Relies on the digest for living nodes of the
+region. A node whose connection is refused is passed over; after the first byte nothing is tried
+again, since the request may have run.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +22,7 @@
 )
 from crankseam.errors import OutcomeUnknown, Unavailable
 from crankseam.peers.messages import Member
+from crankseam.requests import retry_after
 from crankseam.requests.context import Answer, Next, RequestContext
 from crankseam.requests.headers import end_to_end_headers
 
@@ -26,7 +32,8 @@
 """Set on a request that was passed on once, so that it is never passed on again."""
 
 MAX_NODES_TRIED = 3
-RETRY_SECONDS = 2.0
+"""Nodes of the home region that are tried, so that a region whose nodes are all gone is noticed
+soon. Origin not recorded."""
 
 
 class HomeRegionFilter:
@@ -45,7 +52,7 @@
         context.is_foreign = True
         if FORWARDED_HEADER in context.http.headers:
             detail = f"this node is not in {home}, and the request was passed on once already"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, RETRY_SECONDS)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.OTHER_REGION_S)
         members = list(self._agent.digest.alive_in_region(home))
         self._random.shuffle(members)
         for member in members[:MAX_NODES_TRIED]:
@@ -54,7 +61,7 @@
             except aiohttp.ClientConnectorError:
                 log.info("home node not reached", extra={"node": member.name})
         detail = f"no node of the home region {home} can be reached"
-        raise Unavailable(detail, OUTCOME_NOT_RUN, RETRY_SECONDS)
+        raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.OTHER_REGION_S)
 
     async def _pass_on(self, context: RequestContext, member: Member) -> Answer:
         headers = end_to_end_headers(context.http.headers)
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -1,4 +1,7 @@
-"""First filters: who and what the request is, how long it may take, under which configuration."""
+"""First filters: who and what the request is, how long it may take, under which configuration.
+
+Owns the forms of the ids and the deadline header. Relies on the configuration lease for whether
+this node may take new work; the snapshot taken here holds for the whole request."""
 
 from __future__ import annotations
 
@@ -16,21 +19,24 @@
 )
 from crankseam.errors import BadRequest, IdentifierExpired, NotFound, Unavailable
 from crankseam.identifiers import date_of
+from crankseam.requests import retry_after
 from crankseam.requests.context import Answer, Next, RequestContext
 
 MAX_ID_LENGTH = 200
-FUTURE_MARGIN_MILLISECONDS = 60_000
-"""Callers' clocks may run ahead by this much."""
-
-DEFAULT_DEADLINE_SECONDS = 10.0
-RETRY_UNREADY_SECONDS = 1.0
+"""Characters of a request id, which stands in records and logs. Origin not recorded."""
+FUTURE_MARGIN_MS = 60_000
+"""Callers' clocks may run ahead by this much. Origin not recorded."""
+MAX_DEADLINE_DIGITS = 9
+"""Digits of the deadline header: up to 11 days, and no number that could not be one."""
+DEFAULT_DEADLINE_S = 10.0
+"""Of a request whose caller names none; the service's own may be shorter. Origin not recorded."""
 
 
 class IdentifyFilter:
     """Reads the ids and the body. Nothing is looked up yet."""
 
-    def __init__(self, retention_seconds: float) -> None:
-        self._retention_milliseconds = retention_seconds * 1000
+    def __init__(self, retention_s: float) -> None:
+        self._retention_ms = retention_s * 1000
 
     async def __call__(self, context: RequestContext, following: Next) -> Answer:
         """Fill in the ids; refuse malformed ones."""
@@ -53,10 +59,10 @@
         except ValueError:
             detail = f"{IDEMPOTENCY_HEADER} must be a UUID of version 7 (RFC 9562)"
             raise BadRequest(detail, OUTCOME_NOT_RUN)
-        age = wall_milliseconds() - dated
-        if age > self._retention_milliseconds:
+        age_ms = wall_milliseconds() - dated
+        if age_ms > self._retention_ms:
             raise IdentifierExpired("the key is older than what is remembered")
-        if age < -FUTURE_MARGIN_MILLISECONDS:
+        if age_ms < -FUTURE_MARGIN_MS:
             raise BadRequest(f"{IDEMPOTENCY_HEADER} is dated in the future", OUTCOME_NOT_RUN)
         return dated
 
@@ -67,12 +73,12 @@
     async def __call__(self, context: RequestContext, following: Next) -> Answer:
         """Set the deadline, counted from the request's arrival."""
         raw = context.http.headers.get(DEADLINE_HEADER)
-        allowed = DEFAULT_DEADLINE_SECONDS
+        allowed_s = DEFAULT_DEADLINE_S
         if raw is not None:
-            if not raw.isdecimal() or len(raw) > 9:
+            if not raw.isdecimal() or len(raw) > MAX_DEADLINE_DIGITS:
                 raise BadRequest(f"{DEADLINE_HEADER}: whole milliseconds", OUTCOME_NOT_RUN)
-            allowed = int(raw) / 1000
-        context.deadline = context.arrived + allowed
+            allowed_s = int(raw) / 1000
+        context.deadline = context.arrived + allowed_s
         return await following(context)
 
 
@@ -93,7 +99,7 @@
             context.deadline = min(context.deadline, context.arrived + service.deadline)
         if not self._lease.is_held():
             detail = "this node cannot confirm its configuration"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, RETRY_UNREADY_SECONDS)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.UNCONFIRMED_S)
         if service is None:
             raise NotFound(f"no service {context.service_name}", OUTCOME_NOT_RUN)
         if context.must_not_repeat and context.idempotency_key is None:
@@ -101,5 +107,5 @@
             raise BadRequest(detail, OUTCOME_NOT_RUN)
         if clocks.promised_s() >= context.deadline:
             detail = "the deadline has passed"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, RETRY_UNREADY_SECONDS)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.PAST_DEADLINE_S)
         return await following(context)
--- a/src/crankseam/requests/limits.py
+++ b/src/crankseam/requests/limits.py
@@ -1,15 +1,22 @@
-"""Limits: the service's shared one, and this node's own bound on requests at a time."""
+"""Does a request get in: the service's shared limit, and this node's own bound at a time.
+
+Inputs: requests under way on this node (counted here, exact), and this node's share of the limit
+(`controllers/limit_shares`, as old as one renewal).
+Rule: a node takes `max_requests` at a time and none while it stops; of a limited service it takes
+no more than its share holds. What does not get in is refused at once and never queued.
+Protects: this process's memory, the service's back ends, and a planned stop from new work.
+Shown by: problems `overloaded` and `unavailable`, `requests_running`. Held by:
+tests/requests/test_app_requests.py, tests/test_node_machine.py.
+"""
 
 from __future__ import annotations
 
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.controllers.limit_shares import LimitShareController
 from crankseam.errors import Overloaded, Unavailable
+from crankseam.requests import retry_after
 from crankseam.requests.context import Answer, Next, RequestContext
 
-RETRY_OVERLOADED_SECONDS = 1.0
-RETRY_DRAINING_SECONDS = 1.0
-
 
 class ServiceLimitFilter:
     """Counts the request against the service's limit, if it has one."""
@@ -25,7 +32,7 @@
             return await following(context)
         if not await self._shares.acquire(limit):
             detail = f"limit {limit.name} of {limit.max_in_flight} is in use"
-            raise Overloaded(detail, OUTCOME_NOT_RUN, RETRY_OVERLOADED_SECONDS)
+            raise Overloaded(detail, OUTCOME_NOT_RUN, retry_after.OVERLOADED_S)
         try:
             return await following(context)
         finally:
@@ -43,10 +50,10 @@
     async def __call__(self, context: RequestContext, following: Next) -> Answer:
         """Count the request; refuse it at once where there is no room."""
         if self.draining:
-            raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, RETRY_DRAINING_SECONDS)
+            raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
         if self.running >= self._max_requests:
             detail = f"{self.running} requests are running here"
-            raise Overloaded(detail, OUTCOME_NOT_RUN, RETRY_OVERLOADED_SECONDS)
+            raise Overloaded(detail, OUTCOME_NOT_RUN, retry_after.OVERLOADED_S)
         self.running += 1
         try:
             return await following(context)
--- a/src/crankseam/requests/request_record.py
+++ b/src/crankseam/requests/request_record.py
@@ -1,4 +1,7 @@
-"""The replicated record of a request that may not be repeated."""
+"""The replicated record of a request that may not be repeated, and its bytes.
+
+Owns the form in which it is stored; what may follow what is in `claim_rules`.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +9,6 @@
 
 import msgspec
 
-MAX_REFUSED_ATTEMPTS = 32
-
 
 class RequestState(enum.StrEnum):
     """What is agreed about the request."""
@@ -52,40 +53,3 @@
 def decode_record(value: bytes) -> RequestRecord:
     """The record behind a replica's bytes."""
     return _decoder.decode(value)
-
-
-def claim_over(standing: bytes | None, claim: RequestRecord) -> bytes | None:
-    """The claim, where nothing stands or only refused attempts; None leaves what stands."""
-    if standing is None:
-        return encode_record(claim)
-    record = decode_record(standing)
-    if record.state != RequestState.NOT_RUN or record.body_digest != claim.body_digest:
-        return None
-    if claim.attempt in record.refused_attempts:
-        return None
-    renewed = msgspec.structs.replace(claim, refused_attempts=record.refused_attempts)
-    return encode_record(renewed)
-
-
-def refuse_over(standing: bytes | None, refusal: RequestRecord) -> bytes | None:
-    """Commit `not_run` for an attempt that this node did not forward.
-
-    A claim may only be withdrawn by the claimant's own attempt; what ran stays as it is.
-    """
-    if standing is None:
-        return encode_record(refusal)
-    record = decode_record(standing)
-    is_own_claim = (
-        record.state == RequestState.CLAIMED
-        and record.attempt == refusal.attempt
-        and record.claimant == refusal.claimant
-        and refusal.claimant != ""
-    )
-    if record.state != RequestState.NOT_RUN and not is_own_claim:
-        return None
-    refused = [*record.refused_attempts]
-    if refusal.attempt not in refused:
-        refused.append(refusal.attempt)
-    if len(refused) > MAX_REFUSED_ATTEMPTS:
-        return None  # too many to remember; the caller is told `unknown`
-    return encode_record(msgspec.structs.replace(refusal, refused_attempts=refused))
