--- a/src/crankseam/cluster/agent.py
+++ b/src/crankseam/cluster/agent.py
@@ -8,8 +8,7 @@
 
 from __future__ import annotations
 
-import time
-
+from crankseam import clocks
 from crankseam.clients.key_value import KeyValueClient
 from crankseam.clients.machine_list import MachineListClient
 from crankseam.cluster.configuration_lease import ConfigurationLease
@@ -44,11 +43,6 @@
 """Seeds that are asked at the start, so that many dead ones delay it by 10 s at most."""
 
 
-def wall_milliseconds() -> int:
-    """Wall time; used only to date ids and incarnations, never to judge a lease."""
-    return time.time_ns() // 1_000_000
-
-
 class ClusterAgent:
     """Membership, digests, replicated records and the configuration lease of one node."""
 
@@ -86,7 +80,7 @@
         seeds = await self._seed_addresses()
         known = await self._first_contact(seeds)
         # Above every incarnation that peers remember, also where this machine's clock was set back.
-        incarnation = max(wall_milliseconds(), known + 1)
+        incarnation = max(clocks.wall_ms(), known + 1)
         self.identity = f"{self.settings.name}@{incarnation}"
         transport.incarnation = incarnation
         self._create_records()
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -59,7 +59,7 @@
         """Take the news of other zones, and the other relay's of this one."""
         first = self._order.is_first_relay()
         if first:
-            self._digest.learn_pulse(self._settings.zone, time.time_ns() // 1_000_000)
+            self._digest.learn_pulse(self._settings.zone, clocks.wall_ms())
         # The second relay takes the other zones' news from the first, its parent.
         zones = self._digest.zones() if first else [self._settings.zone]
         await asyncio.gather(*(self._pull_from_zone(zone) for zone in zones))
--- a/src/crankseam/controllers/back_end_watch.py
+++ b/src/crankseam/controllers/back_end_watch.py
@@ -10,8 +10,9 @@
 import aiohttp
 import msgspec
 
+from crankseam import clocks
 from crankseam.clients.load_report import LoadReport, fetch_load_report
-from crankseam.cluster.agent import ClusterAgent, wall_milliseconds
+from crankseam.cluster.agent import ClusterAgent
 from crankseam.config.kinds import BackEnd
 from crankseam.config.snapshot import Snapshot
 from crankseam.peers.messages import BackEndReport
@@ -148,7 +149,7 @@
         report = self._build(target, load)
         if previous is not None and not self._is_news(previous, report):
             return
-        self._sequence = max(self._sequence + 1, wall_milliseconds())
+        self._sequence = max(self._sequence + 1, clocks.wall_ms())
         report = msgspec.structs.replace(report, sequence=self._sequence)
         self._reports[target.name] = report
         self._sent_at[target.name] = time.monotonic()
--- a/src/crankseam/controllers/founding.py
+++ b/src/crankseam/controllers/founding.py
@@ -11,9 +11,10 @@
 
 import msgspec
 
+from crankseam import clocks
 from crankseam.backoff import Backoff
 from crankseam.clients.key_value import Put, Unchanged
-from crankseam.cluster.agent import ClusterAgent, wall_milliseconds
+from crankseam.cluster.agent import ClusterAgent
 from crankseam.constants import FOUNDING_PREFIX, REPLICAS_PER_SLOT
 from crankseam.errors import KeyValueError
 from crankseam.peers.messages import Exchange, ExchangeAnswer, Member, ReplicaSet
@@ -123,7 +124,7 @@
         if not record.sets and len(candidates) < REPLICAS_PER_SLOT:
             log.info("founding with few nodes", extra={"nodes": len(candidates)})
         sets = {replica_set.slot: replica_set for replica_set in record.sets}
-        floor = wall_milliseconds() + FLOOR_MARGIN_MILLISECONDS if record.sets else 0
+        floor = clocks.wall_ms() + FLOOR_MARGIN_MILLISECONDS if record.sets else 0
         lost_epochs = {replica_set.slot: replica_set.epoch for replica_set in lost}
         for slot in range(self._agent.settings.record_slots):
             if slot in sets and slot not in lost_epochs:
--- a/src/crankseam/controllers/retention.py
+++ b/src/crankseam/controllers/retention.py
@@ -4,7 +4,8 @@
 
 import asyncio
 
-from crankseam.cluster.agent import ClusterAgent, wall_milliseconds
+from crankseam import clocks
+from crankseam.cluster.agent import ClusterAgent
 
 SWEEP_SECONDS = 5.0
 REPORT_RETENTION_SECONDS = 30.0
@@ -25,7 +26,7 @@
     def sweep(self) -> None:
         """Drop what is too old."""
         retention = round(self._agent.settings.timing.record_retention * 1000)
-        self._agent.replicas.forget_before(wall_milliseconds() - retention)
+        self._agent.replicas.forget_before(clocks.wall_ms() - retention)
         self._agent.digest.purge(self._known_targets(), REPORT_RETENTION_SECONDS)
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
         self._agent.known_peers.save([member.peer_address for member in members])
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -13,6 +13,7 @@
 
 import aiohttp
 
+from crankseam import clocks
 from crankseam.backoff import Backoff
 from crankseam.clients.sampler import (
     OrderFailed,
@@ -21,7 +22,7 @@
     SamplerError,
 )
 from crankseam.clients.weight_store import WeightStoreClient
-from crankseam.cluster.agent import ClusterAgent, wall_milliseconds
+from crankseam.cluster.agent import ClusterAgent
 from crankseam.config.kinds import BackEnd, SamplerPool, WeightPolicy
 from crankseam.controllers.back_end_watch import BackEndWatchController
 from crankseam.controllers.duty import Duty
@@ -307,7 +308,7 @@
                 BackEndReport(
                     target=f"{pool.name}/{sampler.name}",
                     watcher=f"weights/{self._agent.settings.name}",
-                    sequence=wall_milliseconds(),
+                    sequence=clocks.wall_ms(),
                     alive=True,
                     leaving=False,
                     running=0,
--- a/src/crankseam/identifiers.py
+++ b/src/crankseam/identifiers.py
@@ -1,20 +1,24 @@
-"""Dated identifiers: an idempotency key is a UUID of version 7, whose date bounds how long it is
-remembered (RFC 9562)."""
+"""Dated identifiers: an idempotency key is a UUID of version 7 (RFC 9562).
+
+Owns the form of the id. Its date bounds how long a request is remembered: an older id is refused
+and never run.
+"""
 
 from __future__ import annotations
 
 import os
-import time
 import uuid
 
+from crankseam import clocks
+
 UUID7_VERSION = 7
 TIMESTAMP_SHIFT = 80
+"""Bits below the 48 of the date (RFC 9562, 5.7)."""
 
 
 def new_dated_id() -> str:
     """A new UUID of version 7."""
-    milliseconds = time.time_ns() // 1_000_000
-    value = (milliseconds << TIMESTAMP_SHIFT) | int.from_bytes(os.urandom(10), "big")
+    value = (clocks.wall_ms() << TIMESTAMP_SHIFT) | int.from_bytes(os.urandom(10), "big")
     value = (value & ~(0xF << 76)) | (UUID7_VERSION << 76)
     value = (value & ~(0x3 << 62)) | (0x2 << 62)
     return str(uuid.UUID(int=value))
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -8,7 +8,6 @@
 import uuid
 
 from crankseam import clocks
-from crankseam.cluster.agent import wall_milliseconds
 from crankseam.cluster.configuration_lease import ConfigurationLease
 from crankseam.constants import (
     DEADLINE_HEADER,
@@ -59,7 +58,7 @@
         except ValueError:
             detail = f"{IDEMPOTENCY_HEADER} must be a UUID of version 7 (RFC 9562)"
             raise BadRequest(detail, OUTCOME_NOT_RUN)
-        age_ms = wall_milliseconds() - dated
+        age_ms = clocks.wall_ms() - dated
         if age_ms > self._retention_ms:
             raise IdentifierExpired("the key is older than what is remembered")
         if age_ms < -FUTURE_MARGIN_MS:
--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -7,7 +7,8 @@
 import msgspec
 from aiohttp import web
 
-from crankseam.cluster.agent import ClusterAgent, wall_milliseconds
+from crankseam import clocks
+from crankseam.cluster.agent import ClusterAgent
 from crankseam.config.kinds import Trainer
 from crankseam.constants import OUTCOME_NOT_RUN, OUTCOME_UNKNOWN
 from crankseam.errors import BadRequest, NotFound, RecordError, StillRunning, Unavailable
@@ -101,7 +102,7 @@
             raise BadRequest(f"samples: 1 to {MAX_SAMPLES_PER_STEP}", OUTCOME_NOT_RUN)
         if [sample.index for sample in opening.samples] != list(range(len(opening.samples))):
             raise BadRequest("samples: indices from 0 without gaps", OUTCOME_NOT_RUN)
-        age = wall_milliseconds() - opening.opened_at_ms
+        age = clocks.wall_ms() - opening.opened_at_ms
         if age > STEP_RETENTION_MILLISECONDS or age < -STEP_AGE_MARGIN_MILLISECONDS:
             raise BadRequest("opened_at_ms: a time within the retention", OUTCOME_NOT_RUN)
 
