--- a/src/crankseam/orders/assignment.py
+++ b/src/crankseam/orders/assignment.py
@@ -15,9 +15,6 @@
 
 LOADS_A_STEP = 6
 """So many loads end well before the next step, a few at a time; they are used if they help."""
-LOADING_SHARE = 0.4
-"""Of a service's samplers, about so many can load at a time before loads slow each other down."""
-FEWEST_LOADS_AT_ONCE = 2
 SPARE_FACTOR = 2.0
 """A step begins while the last one's long items still run, and some samplers load or are slow."""
 DEFAULT_SLOTS = 8
@@ -44,11 +41,6 @@
     return max(LOADS_A_STEP, math.ceil(SPARE_FACTOR * wanted / slots))
 
 
-def loads_at_once(samplers: int) -> int:
-    """How many samplers of a service may load a version at the same time."""
-    return max(FEWEST_LOADS_AT_ONCE, round(LOADING_SHARE * samplers))
-
-
 def assign(
     samplers: list[BackEnd],
     models: dict[str, int],
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -4,16 +4,22 @@
 
 import asyncio
 import logging
-import math
 import random
 import time
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
 from crankseam.coordination.duty import Duty
-from crankseam.orders.assignment import assign, loads_at_once
+from crankseam.orders.assignment import assign
+from crankseam.orders.loads import (
+    Load,
+    NamedVersion,
+    due,
+    free_loads,
+    loads_to_start,
+    order_cost,
+)
 from crankseam.orders.messages import (
     OrderFenced,
     OrderRefused,
@@ -31,30 +37,18 @@
 LOOK_SECONDS = 0.1
 ASSIGNMENT_KEPT_S = 0.3
 """Which samplers carry which model is worked out anew after this."""
-HURRIED_SECONDS = 3.0
-"""A trainer that names versions faster than this is behind, and waits for them."""
-CARRIERS_PER_LOAD = 3
-"""Of so many samplers of one model, one loads at a time."""
 FIRST_LOOK_SECONDS = 0.8
 NEXT_LOOK_SECONDS = 0.15
 LONGEST_LOAD_SECONDS = 8.0
 RETRY_SECONDS = 0.3
-LOAD_DELAY_SECONDS = 0.8
-"""A trainer asks for a step as it names a version: its burst goes out before samplers load."""
-LATE_SHARE = 0.55
-"""After so much of the time between two named versions most items of a step have ended: a load
-breaks few runs off, and those find room elsewhere at once."""
-INTERVAL_WEIGHT = 0.5
-"""How much the newest time between two named versions counts."""
 ACQUIRE_SPREAD_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class _Load:
+class _LoadUnderWay:
     """One sampler that is being brought to a version of a model."""
 
-    service: str
-    model: str
+    load: Load
     task: asyncio.Task[None]
 
 
@@ -108,12 +102,8 @@
         self._running_requests = running_requests
         self._demand = demand if demand is not None else _NoDemand()
         self._paces = paces if paces is not None else SamplerPaces()
-        self._named: dict[str, int] = {}
-        self._named_at: dict[str, float] = {}
-        self._interval_s: dict[str, float] = {}
-        """Smoothed seconds between two named versions, by model."""
-        self._load_from: dict[str, float] = {}
-        self._loading: dict[str, _Load] = {}
+        self._named: dict[str, NamedVersion] = {}
+        self._loading: dict[str, _LoadUnderWay] = {}
         """Loads under way by the sampler's id."""
         self._assignment: tuple[float, set[str], dict[str, list[BackEnd]]] = (
             float("-inf"),
@@ -127,18 +117,14 @@
 
     def version_named(self, model: str, version: int) -> None:
         """A trainer named a version; an older one changes nothing."""
-        if version > self._named.get(model, 0):
-            self._named[model] = version
-            now = time.monotonic()
-            # The first one seen may have been named long before this process began.
-            passed_s = now - self._named_at.get(model, now)
-            behind = passed_s < HURRIED_SECONDS
-            if passed_s > 0.0:
-                known_s = self._interval_s.get(model, passed_s)
-                self._interval_s[model] = known_s + INTERVAL_WEIGHT * (passed_s - known_s)
-            self._named_at[model] = now
-            self._load_from[model] = now if behind else now + LOAD_DELAY_SECONDS
-            log.info("version_named", extra={"model": model, "version": version})
+        known = self._named.get(model)
+        if version <= self._version(model):
+            return
+        now = time.monotonic()
+        # The first one seen may have been named long before this process began.
+        first = NamedVersion(version, now, now)
+        self._named[model] = known.followed_by(version, now) if known is not None else first
+        log.info("version_named", extra={"model": model, "version": version})
 
     async def run(self) -> None:
         """Look for samplers that lag until cancelled."""
@@ -148,8 +134,8 @@
                 if self.active:
                     await self._look()
         finally:
-            for load in self._loading.values():
-                load.task.cancel()
+            for one in self._loading.values():
+                one.task.cancel()
 
     async def _look(self) -> None:
         self._holder.is_vacant()
@@ -166,72 +152,39 @@
             return
         self._start_loads(lagging, assigned)
 
-    def _start_loads(
-        self, lagging: list[tuple[BackEnd, str]], assigned: dict[str, list[BackEnd]]
-    ) -> None:
-        """Most samplers of a model go on serving it while others load, and few load at a time."""
-        of_service = Counter(load.service for load in self._loading.values())
-        of_model = Counter(load.model for load in self._loading.values())
-        most = {
-            service: loads_at_once(len(self._registry.of_service(service)))
-            for service in {back_end.record.service for back_end, _ in lagging}
+    def _start_loads(self, lagging: list[Load], assigned: dict[str, list[BackEnd]]) -> None:
+        samplers = {
+            service: len(self._registry.of_service(service))
+            for service in {load.service for load in lagging}
         }
-        for back_end, model in lagging:
-            service = back_end.record.service
-            if back_end.record.id in self._loading or of_service[service] >= most[service]:
-                continue
-            if of_model[model] >= max(1, len(assigned[model]) // CARRIERS_PER_LOAD):
-                continue
-            of_service[service] += 1
-            of_model[model] += 1
-            self._start(back_end, model)
-
-    def _lagging(self, assigned: dict[str, list[BackEnd]]) -> list[tuple[BackEnd, str]]:
+        carriers = {model: len(back_ends) for model, back_ends in assigned.items()}
+        under_way = [one.load for one in self._loading.values()]
+        for load in loads_to_start(lagging, under_way, samplers, carriers):
+            self._start(load)
+
+    def _lagging(self, assigned: dict[str, list[BackEnd]]) -> list[Load]:
         """Samplers that are to load a newer version now, those with least work first."""
+        now = time.monotonic()
         found = [
-            (back_end, model)
+            Load(back_end.record.service, model, back_end)
             for model, back_ends in assigned.items()
             for back_end in self._due(model, back_ends)
         ]
-        return sorted(found, key=self._order_cost)
+        return sorted(
+            found,
+            key=lambda load: order_cost(
+                load.back_end, load.model, self._named[load.model].version, self._paces, now
+            ),
+        )
 
     def _due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
-        """Samplers that can't serve the newest job, and some others: not all may come due at once.
-
-        Where jobs may be served by a version that is `lag` older than the newest, each load serves
-        `lag` + 1 jobs, so that a part of the samplers loads each version and the others go on. Late
-        in a step more of them load, as many as cost nothing, for the next step to begin on.
-        """
+        now = time.monotonic()
         named = self._named[model]
+        free = 0
+        if named.is_late(now):
+            free = free_loads(self._registry.of_service(back_ends[0].record.service))
         needed = self._demand.needed_version(model)
-        usable_from = min(named, needed) if needed is not None else named
-        behind = [one for one in back_ends if one.version_of(model) < named]
-        due = [one for one in behind if one.version_of(model) < usable_from]
-        if self._load_from[model] > time.monotonic():
-            return due
-        share = math.ceil(len(back_ends) / (named - usable_from + 1))
-        if self._is_late(model):
-            share = max(share, min(len(back_ends), self._free_loads(back_ends)))
-        missing = share - (len(back_ends) - len(behind)) - len(due)
-        usable = sorted(
-            (one for one in behind if one.version_of(model) >= usable_from),
-            key=lambda one: self._order_cost((one, model)),
-        )
-        return due + usable[: max(0, missing)]
-
-    def _is_late(self, model: str) -> bool:
-        """Whether the step that began when the newest version was named nears its end."""
-        interval_s = self._interval_s.get(model)
-        passed_s = time.monotonic() - self._named_at[model]
-        if interval_s is None:
-            return False
-        return passed_s >= LATE_SHARE * max(interval_s, HURRIED_SECONDS)
-
-    def _free_loads(self, back_ends: list[BackEnd]) -> int:
-        """An equal share of the service's samplers: so many loads of a version cost nothing."""
-        service = self._registry.of_service(back_ends[0].record.service)
-        models = {model for one in service for model in one.record.versions}
-        return math.ceil(len(service) / max(1, len(models)))
+        return due(back_ends, model, named, needed, free, self._paces, now)
 
     def _current_assignment(self) -> dict[str, list[BackEnd]]:
         """Worked out now and then: at thousands of samplers it takes a while."""
@@ -256,7 +209,7 @@
         assigned: dict[str, list[BackEnd]] = {model: [] for model in self._named}
         for service, back_ends in by_service.items():
             carried = {model for one in back_ends for model in one.record.versions}
-            models = {model: self._named.get(model, 0) for model in carried}
+            models = {model: self._version(model) for model in carried}
             classes = self._paces.classes(back_ends)
             items = {model: count for model in models if (count := self._demand.items_of(model))}
             shares = self._shares_of(service, carried)
@@ -275,25 +228,20 @@
             log.info("samplers_shared", extra={"service": service, "shares": rounded})
         return shares
 
-    def _order_cost(self, pair: tuple[BackEnd, str]) -> tuple[bool, int, float, int]:
-        """Sound ones first; the model whose samplers lag most; slow ones; those with least work.
+    def _version(self, model: str) -> int:
+        """The newest named version; 0 if none was named."""
+        named = self._named.get(model)
+        return named.version if named is not None else 0
 
-        A step's long runs are at fast samplers: what is loaded late breaks off fewer of them.
-        """
-        back_end, model = pair
-        lag = self._named[model] - back_end.version_of(model)
-        pace = self._paces.steady_s(back_end) or 0.0
-        return (back_end.avoid_until > time.monotonic(), -lag, -pace, back_end.in_flight)
-
-    def _start(self, back_end: BackEnd, model: str) -> None:
-        back_end_id = back_end.record.id
-        task = asyncio.create_task(self._bring(back_end, model))
-        self._loading[back_end_id] = _Load(back_end.record.service, model, task)
+    def _start(self, load: Load) -> None:
+        back_end_id = load.back_end.record.id
+        task = asyncio.create_task(self._bring(load.back_end, load.model))
+        self._loading[back_end_id] = _LoadUnderWay(load, task)
         task.add_done_callback(lambda _: self._loading.pop(back_end_id, None))
 
     async def _bring(self, back_end: BackEnd, model: str) -> None:
         """Bring one sampler to the model's named version; a failure is tried again later."""
-        version = self._named[model]
+        version = self._named[model].version
         try:
             if await self._order(back_end, model, version):
                 await self._wait_loaded(back_end, model, version)
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -1,7 +1,9 @@
 import asyncio
+from dataclasses import replace
 
 import pytest
 
+from crankseam.orders import loads as loads_module
 from crankseam.orders import version_coordinator as module
 from crankseam.orders.messages import RunningRequests, SamplerReport
 from crankseam.orders.version_coordinator import VersionCoordinator
@@ -116,7 +118,7 @@
 
 
 def due_ids(coordinator, model="a"):
-    coordinator._load_from[model] = 0.0
+    coordinator._named[model] = replace(coordinator._named[model], loads_from=0.0)
     back_ends = coordinator._registry.of_service("svc")
     return [one.record.id for one in coordinator._due(model, back_ends)]
 
@@ -146,12 +148,12 @@
     coordinator.version_named("a", 1)
     clock.now += 10.0
     coordinator.version_named("a", 2)
-    clock.now += 0.5 * module.LATE_SHARE * 10.0
+    clock.now += 0.5 * loads_module.LATE_SHARE * 10.0
     assert len(due_ids(coordinator)) == 6
     for key in due_ids(coordinator):
         coordinator._registry.by_id(key).observed_versions["a"] = 2
     assert due_ids(coordinator) == []
-    clock.now += 0.6 * module.LATE_SHARE * 10.0
+    clock.now += 0.6 * loads_module.LATE_SHARE * 10.0
     assert len(due_ids(coordinator)) == late - 6
 
 
@@ -160,7 +162,7 @@
     coordinator.version_named("a", 3)
     back_ends = coordinator._registry.of_service("svc")
     back_ends[0].observed_versions["a"] = 2
-    assert coordinator._load_from["a"] > 0.0 and back_ends[0] not in coordinator._due(
+    assert coordinator._named["a"].loads_from > 0.0 and back_ends[0] not in coordinator._due(
         "a", back_ends
     )
     assert len(coordinator._due("a", back_ends)) == 5
