--- a/src/crankseam/orders/__init__.py
+++ b/src/crankseam/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Fenced orders to samplers: who may give them, and the one that brings new weights."""
+"""Fenced orders to samplers: which of them load which weight version, and when."""
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -1,29 +1,49 @@
-"""Which samplers load a newer version now: how many at a time, which first, when a load begins."""
+"""Which samplers load a newer version now: when, how many at a time, and which go first?
+
+Inputs: the samplers assigned to each model, the version named last and when (monotonic seconds),
+the oldest version that may serve the newest job, the samplers' paces, the loads under way.
+Rule: a sampler that cannot serve the newest job is due at once. Of the others a part is due once
+the burst after the naming is out, and more of them late in the step; few load at a time, and the
+slow ones with least work go first.
+Protects: runs that a load breaks off, and the places that a model lacks while its samplers load.
+Shown by: `version_named`, `version_ordered`, `version_loaded`. Held by: tests/orders/test_loads.py
+and tests/orders/test_version_coordinator.py.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.paces import SamplerPaces
 
-HURRIED_SECONDS = 3.0
-"""A trainer that names versions faster than this is behind, and waits for them."""
-CARRIERS_PER_LOAD = 3
-"""Of so many samplers of one model, one loads at a time."""
-LOAD_DELAY_SECONDS = 0.8
-"""A trainer asks for a step as it names a version: its burst goes out before samplers load."""
+SHORTEST_STEP_S = 3.0
+"""A trainer that names versions faster than this is behind and waits for them, so that loads are
+not delayed. Below the 4 s of the shortest known steps; set where a trainer waited for versions
+for 7 s after all processes had been killed."""
+LOAD_DELAY_S = 0.8
+"""A trainer asks for a step as it names a version: its burst goes out before samplers load. Set
+together with breaking runs off, on two sites with steps of 4 s; not varied by itself."""
 LATE_SHARE = 0.55
-"""After so much of the time between two named versions most items of a step have ended: a load
-breaks few runs off, and those find room elsewhere at once."""
+"""After this share of the time between two named versions most items of a step have ended: a load
+breaks few runs off, and those find room elsewhere at once. It took the first wait of long items
+from 0.7 to 0.2 s, on three days of a site with 8 samplers."""
 INTERVAL_WEIGHT = 0.5
-"""How much the newest time between two named versions counts."""
+"""Weight of the newest time between two named versions in the smoothed one; not measured by
+itself."""
 LOADING_SHARE = 0.4
-"""Of a service's samplers, about so many can load at a time before loads slow each other down."""
+"""Of a service's samplers, about so many load at a time before loads slow each other down: 2 of 5
+and 6, 9 of 23, 10 of 24 by the operators' sheets. Raised from 2 at any size: 68 -> 153 loads, and
+0.75 -> 0.88 of the day served, with 23 samplers of three models."""
 FEWEST_LOADS_AT_ONCE = 2
+"""So many may load at a time in the smallest services too, by the same sheets."""
+CARRIERS_PER_LOAD = 3
+"""Of so many samplers of one model, one loads at a time. Set with five samplers of two models, of
+which one stood still on all its samplers: loads beyond the free ones 14.5 -> 4.5 a day."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +53,9 @@
     Attributes
     ==========
 
-    named_at : monotonic time in seconds.
-    loads_from : monotonic time from which samplers load it that can serve the newest job without.
+    named_at : monotonic seconds.
+    loads_from : monotonic seconds from which those samplers load it that can serve the newest job
+        without it.
     interval_s : smoothed seconds between two named versions; None after the first one.
     """
 
@@ -43,21 +64,29 @@
     loads_from: float
     interval_s: float | None = None
 
+    @classmethod
+    def first(cls, version: int, now: float) -> NamedVersion:
+        """The first one that is seen; it may have been named long before this process began."""
+        return cls(version, now, now)
+
     def followed_by(self, version: int, now: float) -> NamedVersion:
         """The next version, named at ``now``."""
         passed_s = now - self.named_at
-        behind = passed_s < HURRIED_SECONDS
-        interval_s = self.interval_s
-        if passed_s > 0.0:
-            known_s = interval_s if interval_s is not None else passed_s
-            interval_s = known_s + INTERVAL_WEIGHT * (passed_s - known_s)
-        return NamedVersion(version, now, now if behind else now + LOAD_DELAY_SECONDS, interval_s)
+        is_trainer_behind = passed_s < SHORTEST_STEP_S
+        loads_from = now if is_trainer_behind else now + LOAD_DELAY_S
+        return NamedVersion(version, now, loads_from, self._smoothed_s(passed_s))
+
+    def _smoothed_s(self, passed_s: float) -> float | None:
+        if passed_s <= 0.0:
+            return self.interval_s
+        known_s = self.interval_s if self.interval_s is not None else passed_s
+        return known_s + INTERVAL_WEIGHT * (passed_s - known_s)
 
     def is_late(self, now: float) -> bool:
         """Whether the step that began when this version was named nears its end."""
         if self.interval_s is None:
             return False
-        return now - self.named_at >= LATE_SHARE * max(self.interval_s, HURRIED_SECONDS)
+        return now - self.named_at >= LATE_SHARE * max(self.interval_s, SHORTEST_STEP_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,8 +98,43 @@
     back_end: BackEnd
 
 
+class LoadPriority(NamedTuple):
+    """Which sampler loads first; the least goes first.
+
+    Attributes
+    ==========
+
+    is_avoided : one that failed lately comes last.
+    negated_lag : versions behind the newest one, negated: the model whose samplers lag most.
+    negated_pace_s : seconds between two events of a stream there, negated: slow ones first, since
+        the long runs of a step are at fast ones. 0 if not known.
+    in_flight : requests of this process that run there: the fewer, the fewer are broken off.
+    """
+
+    is_avoided: bool
+    negated_lag: int
+    negated_pace_s: float
+    in_flight: int
+
+    @classmethod
+    def of(
+        cls, back_end: BackEnd, model: str, version: int, paces: SamplerPaces, now: float
+    ) -> LoadPriority:
+        """The priority of bringing a sampler to a version of a model at ``now``."""
+        lag = version - back_end.version_of(model)
+        pace_s = paces.steady_s(back_end) or 0.0
+        return cls(back_end.avoid_until > now, -lag, -pace_s, back_end.in_flight)
+
+
 def loads_at_once(samplers: int) -> int:
-    """How many samplers of a service may load a version at the same time."""
+    """How many samplers of a service may load a version at the same time.
+
+    Examples
+    ========
+
+    >>> [loads_at_once(samplers) for samplers in (3, 5, 23, 24)]
+    [2, 2, 9, 10]
+    """
     return max(FEWEST_LOADS_AT_ONCE, round(LOADING_SHARE * samplers))
 
 
@@ -80,69 +144,77 @@
     return math.ceil(len(service) / max(1, len(models)))
 
 
-def order_cost(
-    back_end: BackEnd, model: str, version: int, paces: SamplerPaces, now: float
-) -> tuple[bool, int, float, int]:
-    """Sound ones first; the model whose samplers lag most; slow ones; those with least work.
-
-    A step's long runs are at fast samplers: what is loaded late breaks off fewer of them.
-    """
-    lag = version - back_end.version_of(model)
-    pace = paces.steady_s(back_end) or 0.0
-    return (back_end.avoid_until > now, -lag, -pace, back_end.in_flight)
-
-
-def due(
-    back_ends: list[BackEnd],
+def due_samplers(
+    carriers: list[BackEnd],
     model: str,
     named: NamedVersion,
-    needed: int | None,
-    free: int,
+    needed_version: int | None,
+    late_count: int,
     paces: SamplerPaces,
     now: float,
 ) -> list[BackEnd]:
     """Samplers that can't serve the newest job, and some others: not all may come due at once.
 
+    Explanation
+    ===========
+
     Where jobs may be served by a version that is `lag` older than the newest, each load serves
     `lag` + 1 jobs, so that a part of the samplers loads each version and the others go on. Late
-    in a step more of them load, as many as cost nothing, for the next step to begin on.
+    in a step more of them load, for the next step to begin on.
+
+    Parameters
+    ==========
+
+    carriers : the samplers assigned to the model.
+    needed_version : the oldest version that may serve the newest job; the newest if not known.
+    late_count : how many of them are to carry the newest version late in a step.
+    now : monotonic seconds.
     """
-    usable_from = min(named.version, needed) if needed is not None else named.version
-    behind = [one for one in back_ends if one.version_of(model) < named.version]
-    due = [one for one in behind if one.version_of(model) < usable_from]
-    if named.loads_from > now:
-        return due
-    share = math.ceil(len(back_ends) / (named.version - usable_from + 1))
+    newest = named.version
+    usable_from = min(newest, needed_version) if needed_version is not None else newest
+    behind = [one for one in carriers if one.version_of(model) < newest]
+    unusable = [one for one in behind if one.version_of(model) < usable_from]
+    if now < named.loads_from:
+        return unusable
+    wanted = math.ceil(len(carriers) / (newest - usable_from + 1))
     if named.is_late(now):
-        share = max(share, min(len(back_ends), free))
-    missing = share - (len(back_ends) - len(behind)) - len(due)
+        wanted = max(wanted, min(len(carriers), late_count))
+    up_to_date = len(carriers) - len(behind)
+    missing = max(0, wanted - up_to_date - len(unusable))
     usable = sorted(
         (one for one in behind if one.version_of(model) >= usable_from),
-        key=lambda one: order_cost(one, model, named.version, paces, now),
+        key=lambda one: LoadPriority.of(one, model, newest, paces, now),
     )
-    return due + usable[: max(0, missing)]
+    return unusable + usable[:missing]
 
 
 def loads_to_start(
-    lagging: Iterable[Load],
-    under_way: list[Load],
+    due: Iterable[Load],
+    under_way: Sequence[Load],
     samplers: dict[str, int],
     carriers: dict[str, int],
 ) -> list[Load]:
-    """Most samplers of a model go on serving it while others load, and few load at a time."""
+    """The loads to start now, of those that are due, in their order.
+
+    Few load at a time, and most samplers of a model go on serving it meanwhile.
+
+    Parameters
+    ==========
+
+    samplers : how many each service has.
+    carriers : how many are assigned to each model.
+    """
     loading = {load.back_end.record.id for load in under_way}
     of_service = Counter(load.service for load in under_way)
     of_model = Counter(load.model for load in under_way)
     started: list[Load] = []
-    for load in lagging:
-        service, model = load.service, load.model
-        if load.back_end.record.id in loading:
-            continue
-        if of_service[service] >= loads_at_once(samplers[service]):
+    for load in due:
+        key, service, model = load.back_end.record.id, load.service, load.model
+        if key in loading or of_service[service] >= loads_at_once(samplers[service]):
             continue
         if of_model[model] >= max(1, carriers[model] // CARRIERS_PER_LOAD):
             continue
-        loading.add(load.back_end.record.id)
+        loading.add(key)
         of_service[service] += 1
         of_model[model] += 1
         started.append(load)
--- a/src/crankseam/orders/messages.py
+++ b/src/crankseam/orders/messages.py
@@ -1,4 +1,7 @@
-"""What is ordered of a sampler, and what it reports. Free of any wire."""
+"""What is ordered of a sampler, and what it reports.
+
+Free of any wire: an adapter implements `SamplerControl` by the protocol of its samplers.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +60,7 @@
 
 
 class OrderUnanswered(CrankseamError):
-    """The order may be carried out, now or seconds later."""
+    """No answer came: the order may be carried out, now or seconds later."""
 
 
 class SamplerControl(Protocol):
--- a/src/crankseam/orders/shares.py
+++ b/src/crankseam/orders/shares.py
@@ -1,11 +1,21 @@
-"""What part of a service's samplers each of its models gets: by the work that its items are."""
+"""What part of a service's samplers does each of its models get?
+
+Inputs: seconds for which the models' open items hold slots of samplers, from the keys of open jobs.
+Rule: by work, but half of an equal share at least. Shares stand until one is off by a step; while
+the work of a model is not known, all are equal.
+Protects: a model whose items are more work falls behind with an equal share, and loses the steps of
+its trainer, while another one has samplers to spare.
+Shown by: `samplers_shared`. Held by: tests/orders/test_shares.py.
+"""
 
 from __future__ import annotations
 
 LEAST_OF_EQUAL = 0.5
-"""A model with little work still gets so much of an equal share: its items come all at once."""
+"""Of an equal share, a model with little work still gets so much: its items come all at once. Set
+with the sharing by work itself (docs/DECISIONS.md); not varied."""
 SHARE_STEP = 0.06
-"""Shares are changed once one is off by so much: each sampler that changes hands costs a load."""
+"""Part of the samplers by which a share must be off before all are changed: each sampler that then
+carries another model costs a load. Set with the sharing by work itself; not varied."""
 
 
 def shares_by_work(work_s: dict[str, float]) -> dict[str, float]:
@@ -14,7 +24,7 @@
     Parameters
     ==========
 
-    work_s : seconds that the models' open items hold places, by model.
+    work_s : seconds for which the models' open items hold slots of samplers, by model; none is 0.
 
     Examples
     ========
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -1,4 +1,12 @@
-"""Brings every sampler to the newest named weight version, a few at a time."""
+"""Brings every sampler to the newest named weight version, a few at a time.
+
+Owns the newest named version of each model and the loads under way. Relies on the duty (who may
+give orders), on the registry of back ends, and on the rules of `crankseam.orders.assigner` (which
+sampler carries which model) and `crankseam.orders.loads` (which of them load now).
+
+A process may order a sampler only under a token of the duty. It is asked for right before each
+order; a token that a sampler refused is not used again.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +16,17 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
 
 from crankseam.coordination.duty import Duty
-from crankseam.orders.assignment import assign
+from crankseam.orders.assigner import Assigner
+from crankseam.orders.demand import Demand, UnknownDemand
 from crankseam.orders.loads import (
     Load,
+    LoadPriority,
     NamedVersion,
-    due,
+    due_samplers,
     free_loads,
     loads_to_start,
-    order_cost,
 )
 from crankseam.orders.messages import (
     OrderFenced,
@@ -28,61 +36,47 @@
     SamplerControl,
     VersionOrder,
 )
-from crankseam.orders.shares import ModelShares
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.paces import SamplerPaces
 
 log = logging.getLogger(__name__)
 
-LOOK_SECONDS = 0.1
-ASSIGNMENT_KEPT_S = 0.3
-"""Which samplers carry which model is worked out anew after this."""
-FIRST_LOOK_SECONDS = 0.8
-NEXT_LOOK_SECONDS = 0.15
-LONGEST_LOAD_SECONDS = 8.0
-RETRY_SECONDS = 0.3
-ACQUIRE_SPREAD_SECONDS = 0.3
+LOOK_S = 0.1
+"""Pause between two looks for samplers that lag; origin not recorded."""
+ACQUIRE_SPREAD_S = 0.3
+"""Processes that may all try for the duty spread over this time, so that most see the first one's
+success and ask the store nothing; origin not recorded."""
+FIRST_REPORT_S = 0.8
+"""A sampler is asked whether it has loaded first after this: a load takes 0.9 s and more."""
+NEXT_REPORT_S = 0.15
+"""Pause between further questions; origin not recorded."""
+LONGEST_LOAD_S = 8.0
+"""A load is waited for so long, then the order is given again; origin not recorded."""
+RETRY_S = 0.3
+"""Pause after an order that failed, or a load that did not end; origin not recorded."""
 
 
 @dataclass(frozen=True, slots=True)
 class _LoadUnderWay:
-    """One sampler that is being brought to a version of a model."""
-
     load: Load
     task: asyncio.Task[None]
 
 
-class Demand(Protocol):
-    """What the open jobs of each model need."""
-
-    def items_of(self, model: str) -> int | None:
-        """How many items want to run at once; None if that is not known."""
-
-    def work_s_of(self, model: str) -> float | None:
-        """Seconds of places that these items need; None if that is not known."""
-
-    def needed_version(self, model: str) -> int | None:
-        """The oldest version that may serve the newest job; None if that is not known."""
-
-
-class _NoDemand:
-    def items_of(self, model: str) -> int | None:
-        return None
-
-    def work_s_of(self, model: str) -> float | None:
-        return None
+class VersionCoordinator:
+    """Runs in every process; only the holder of the duty gives orders.
 
-    def needed_version(self, model: str) -> int | None:
-        return None
+    Parameters
+    ==========
 
+    holder : the duty to give orders.
+    running_requests : what is done with a model's running requests.
+    paces : how fast samplers are, if that is known.
+    demand : what the models' open jobs need, if that is known.
 
-class VersionCoordinator:
-    """Runs in every process; only the holder of the right gives orders.
+    Attributes
+    ==========
 
-    Args:
-        running_requests: what is done with a model's running requests.
-        paces: how fast samplers are, if that is known.
-        demand: what the models' open jobs need, if that is known.
+    active : whether this process gives orders; cleared by a planned stop.
     """
 
     def __init__(
@@ -100,37 +94,32 @@
         self._holder = holder
         self._process = process
         self._running_requests = running_requests
-        self._demand = demand if demand is not None else _NoDemand()
+        self._demand = demand if demand is not None else UnknownDemand()
         self._paces = paces if paces is not None else SamplerPaces()
+        self._assigner = Assigner(registry, self._paces, self._demand)
         self._named: dict[str, NamedVersion] = {}
         self._loading: dict[str, _LoadUnderWay] = {}
         """Loads under way by the sampler's id."""
-        self._assignment: tuple[float, set[str], dict[str, list[BackEnd]]] = (
-            float("-inf"),
-            set(),
-            {},
-        )
-        """When it was worked out, for which models, and the samplers by model."""
-        self._shares: dict[str, ModelShares] = {}
-        """Shares of the models, by service."""
         self.active = True
 
     def version_named(self, model: str, version: int) -> None:
         """A trainer named a version; an older one changes nothing."""
         known = self._named.get(model)
-        if version <= self._version(model):
+        if version <= (known.version if known is not None else 0):
             return
         now = time.monotonic()
-        # The first one seen may have been named long before this process began.
-        first = NamedVersion(version, now, now)
-        self._named[model] = known.followed_by(version, now) if known is not None else first
+        self._named[model] = (
+            known.followed_by(version, now)
+            if known is not None
+            else NamedVersion.first(version, now)
+        )
         log.info("version_named", extra={"model": model, "version": version})
 
     async def run(self) -> None:
         """Look for samplers that lag until cancelled."""
         try:
             while True:
-                await asyncio.sleep(LOOK_SECONDS)
+                await asyncio.sleep(LOOK_S)
                 if self.active:
                     await self._look()
         finally:
@@ -138,106 +127,69 @@
                 one.task.cancel()
 
     async def _look(self) -> None:
+        """Start the loads that are due, or try for the duty if some are and nobody holds it."""
         self._holder.is_vacant()
         may_try = self._holder.may_try()
         if not may_try and self._holder.fence() is None:
             return
-        assigned = self._current_assignment()
-        lagging = self._lagging(assigned)
-        if not lagging:
+        carriers = self._carriers()
+        due = self._due_loads(carriers)
+        if not due:
             return
         if may_try:
-            await asyncio.sleep(random.uniform(0.0, ACQUIRE_SPREAD_SECONDS))
+            await asyncio.sleep(random.uniform(0.0, ACQUIRE_SPREAD_S))
             await self._holder.try_acquire()
             return
-        self._start_loads(lagging, assigned)
-
-    def _start_loads(self, lagging: list[Load], assigned: dict[str, list[BackEnd]]) -> None:
-        samplers = {
-            service: len(self._registry.of_service(service))
-            for service in {load.service for load in lagging}
-        }
-        carriers = {model: len(back_ends) for model, back_ends in assigned.items()}
-        under_way = [one.load for one in self._loading.values()]
-        for load in loads_to_start(lagging, under_way, samplers, carriers):
+        for load in self._loads_to_start(due, carriers):
             self._start(load)
 
-    def _lagging(self, assigned: dict[str, list[BackEnd]]) -> list[Load]:
-        """Samplers that are to load a newer version now, those with least work first."""
+    # --- what to load
+
+    def _carriers(self) -> dict[str, list[BackEnd]]:
+        """The samplers that are to carry each named model."""
+        versions = {model: named.version for model, named in self._named.items()}
+        return self._assigner.carriers(versions, time.monotonic())
+
+    def _due_loads(self, carriers: dict[str, list[BackEnd]]) -> list[Load]:
+        """Samplers that are to load a newer version now, by priority."""
         now = time.monotonic()
         found = [
             Load(back_end.record.service, model, back_end)
-            for model, back_ends in assigned.items()
+            for model, back_ends in carriers.items()
             for back_end in self._due(model, back_ends)
         ]
-        return sorted(
-            found,
-            key=lambda load: order_cost(
-                load.back_end, load.model, self._named[load.model].version, self._paces, now
-            ),
-        )
+        return sorted(found, key=lambda load: self._priority(load, now))
+
+    def _priority(self, load: Load, now: float) -> LoadPriority:
+        version = self._named[load.model].version
+        return LoadPriority.of(load.back_end, load.model, version, self._paces, now)
 
     def _due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
         now = time.monotonic()
         named = self._named[model]
-        free = 0
-        if named.is_late(now):
-            free = free_loads(self._registry.of_service(back_ends[0].record.service))
         needed = self._demand.needed_version(model)
-        return due(back_ends, model, named, needed, free, self._paces, now)
-
-    def _current_assignment(self) -> dict[str, list[BackEnd]]:
-        """Worked out now and then: at thousands of samplers it takes a while."""
-        now = time.monotonic()
-        worked_out_at, named, assigned = self._assignment
-        if now - worked_out_at > ASSIGNMENT_KEPT_S or named != self._named.keys():
-            assigned = self._assigned()
-            self._assignment = (now, set(self._named), assigned)
-        return assigned
-
-    def _assigned(self) -> dict[str, list[BackEnd]]:
-        """Samplers by named model, over all services that carry one.
+        late_count = 0
+        if named.is_late(now):
+            service = back_ends[0].record.service
+            late_count = free_loads(self._registry.of_service(service))
+        return due_samplers(back_ends, model, named, needed, late_count, self._paces, now)
 
-        Models that were not named yet get their share too: what is dealt now is kept later.
-        """
-        carriers = {
-            one.record.id: one for model in self._named for one in self._registry.carrying(model)
+    def _loads_to_start(self, due: list[Load], carriers: dict[str, list[BackEnd]]) -> list[Load]:
+        samplers = {
+            service: len(self._registry.of_service(service))
+            for service in {load.service for load in due}
         }
-        by_service: dict[str, list[BackEnd]] = {}
-        for one in carriers.values():
-            by_service.setdefault(one.record.service, []).append(one)
-        assigned: dict[str, list[BackEnd]] = {model: [] for model in self._named}
-        for service, back_ends in by_service.items():
-            carried = {model for one in back_ends for model in one.record.versions}
-            models = {model: self._version(model) for model in carried}
-            classes = self._paces.classes(back_ends)
-            items = {model: count for model in models if (count := self._demand.items_of(model))}
-            shares = self._shares_of(service, carried)
-            for model, chosen in assign(back_ends, models, classes, items, shares).items():
-                if model in assigned:
-                    assigned[model].extend(chosen)
-        return assigned
-
-    def _shares_of(self, service: str, models: set[str]) -> dict[str, float]:
-        known = self._shares.setdefault(service, ModelShares())
-        work_s = {model: work for model in models if (work := self._demand.work_s_of(model))}
-        before = known.shares
-        shares = known.update(models, work_s)
-        if shares != before:
-            rounded = {model: round(share, 2) for model, share in shares.items()}
-            log.info("samplers_shared", extra={"service": service, "shares": rounded})
-        return shares
+        carrier_counts = {model: len(back_ends) for model, back_ends in carriers.items()}
+        under_way = [one.load for one in self._loading.values()]
+        return loads_to_start(due, under_way, samplers, carrier_counts)
 
-    def _version(self, model: str) -> int:
-        """The newest named version; 0 if none was named."""
-        named = self._named.get(model)
-        return named.version if named is not None else 0
+    # --- one load
 
     def _start(self, load: Load) -> None:
-        back_end_id = load.back_end.record.id
+        key = load.back_end.record.id
         task = asyncio.create_task(self._bring(load.back_end, load.model))
-        self._loading[back_end_id] = _LoadUnderWay(load, task)
-        task.add_done_callback(lambda _: self._loading.pop(back_end_id, None))
+        self._loading[key] = _LoadUnderWay(load, task)
+        task.add_done_callback(lambda _: self._loading.pop(key, None))
 
     async def _bring(self, back_end: BackEnd, model: str) -> None:
         """Bring one sampler to the model's named version; a failure is tried again later."""
@@ -256,10 +208,10 @@
                     "error": type(error).__name__,
                 },
             )
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(RETRY_S)
 
     async def _order(self, back_end: BackEnd, model: str, version: int) -> bool:
-        """Give the order if the sampler needs it; whether it is under way."""
+        """Give the order if the sampler needs it; whether a load is under way there."""
         report = await self._control.report(back_end)
         carried = report.versions.get(model, 0)
         if carried >= version:
@@ -267,6 +219,7 @@
             return False
         if report.busy:
             return True
+        # Right before the order: the duty may have been lost while the sampler answered.
         fence = self._holder.fence()
         if fence is None or not self._registry.is_known(back_end):
             return False
@@ -291,9 +244,10 @@
         return True
 
     async def _wait_loaded(self, back_end: BackEnd, model: str, version: int) -> None:
-        end = time.monotonic() + LONGEST_LOAD_SECONDS
-        await asyncio.sleep(FIRST_LOOK_SECONDS)
-        while time.monotonic() < end and self._registry.is_known(back_end):
+        """Return once the sampler reports the version, or has stopped loading without it."""
+        deadline = time.monotonic() + LONGEST_LOAD_S
+        await asyncio.sleep(FIRST_REPORT_S)
+        while time.monotonic() < deadline and self._registry.is_known(back_end):
             report = await self._control.report(back_end)
             carried = report.versions.get(model, 0)
             if carried >= version:
@@ -305,4 +259,4 @@
                 return
             if not report.busy:
                 return
-            await asyncio.sleep(NEXT_LOOK_SECONDS)
+            await asyncio.sleep(NEXT_REPORT_S)
--- a/tests/orders/test_assignment.py
+++ b/tests/orders/test_assignment.py
@@ -1,7 +1,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankseam.orders.assignment import LOADS_A_STEP, assign, copies
+from crankseam.orders.assignment import LOADS_A_STEP, assign, carrier_count
 from crankseam.serving.back_ends import BackEnd, BackEndRecord
 
 
@@ -16,10 +16,10 @@
 
 
 @given(st.integers(1, 12), st.integers(1, 4))
-def test_each_model_has_its_copies_and_the_work_is_even(count, models):
+def test_each_model_has_its_carriers_and_the_work_is_even(count, models):
     named = {f"m{number}": 2 for number in range(models)}
     assigned = assign(samplers(count), named)
-    assert all(len(chosen) == copies(count, models) for chosen in assigned.values())
+    assert all(len(chosen) == carrier_count(count, models) for chosen in assigned.values())
     loads = [
         sum(one.record.id == f"s{number}" for chosen in assigned.values() for one in chosen)
         for number in range(count)
--- a/tests/orders/test_loads.py
+++ b/tests/orders/test_loads.py
@@ -4,9 +4,9 @@
 
 from crankseam.orders.loads import (
     CARRIERS_PER_LOAD,
-    HURRIED_SECONDS,
     LATE_SHARE,
-    LOAD_DELAY_SECONDS,
+    LOAD_DELAY_S,
+    SHORTEST_STEP_S,
     Load,
     NamedVersion,
     free_loads,
@@ -33,21 +33,21 @@
 
 
 def test_the_first_named_version_loads_at_once_and_the_next_after_the_burst():
-    first = NamedVersion(1, 100.0, 100.0)
+    first = NamedVersion.first(1, 100.0)
     second = first.followed_by(2, 110.0)
-    assert second == NamedVersion(2, 110.0, 110.0 + LOAD_DELAY_SECONDS, 10.0)
-    hurried = second.followed_by(3, 110.0 + HURRIED_SECONDS - 0.1)
-    assert hurried.loads_from == hurried.named_at, "the trainer is behind and waits for the load"
-    assert hurried.interval_s == pytest.approx((10.0 + HURRIED_SECONDS - 0.1) / 2.0)
+    assert second == NamedVersion(2, 110.0, 110.0 + LOAD_DELAY_S, 10.0)
+    early = second.followed_by(3, 110.0 + SHORTEST_STEP_S - 0.1)
+    assert early.loads_from == early.named_at, "the trainer is behind and waits for the load"
+    assert early.interval_s == pytest.approx((10.0 + SHORTEST_STEP_S - 0.1) / 2.0)
 
 
 def test_a_step_is_late_after_a_share_of_the_usual_time():
-    assert not NamedVersion(1, 0.0, 0.0).is_late(1e9), "nobody knows how long a step takes"
+    assert not NamedVersion.first(1, 0.0).is_late(1e9), "nobody knows how long a step takes"
     named = NamedVersion(2, 0.0, 0.0, 10.0)
     assert not named.is_late(LATE_SHARE * 10.0 - 0.01)
     assert named.is_late(LATE_SHARE * 10.0)
     fast = NamedVersion(2, 0.0, 0.0, 0.1)
-    assert not fast.is_late(LATE_SHARE * HURRIED_SECONDS - 0.01)
+    assert not fast.is_late(LATE_SHARE * SHORTEST_STEP_S - 0.01)
 
 
 def test_free_loads_are_an_equal_share_of_the_service():
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -97,8 +97,8 @@
     coordinator.version_named("a", 2)
     running = asyncio.create_task(coordinator.run())
     try:
-        await eventually(lambda: coordinator._current_assignment().get("a"))
-        carriers = {one.record.id for one in coordinator._current_assignment()["a"]}
+        await eventually(lambda: coordinator._carriers().get("a"))
+        carriers = {one.record.id for one in coordinator._carriers()["a"]}
         assert len(carriers) == 8 and len(carriers & fast) in (5, 6)
         await eventually(lambda: loads.loading)
         assert loads.loading.keys() <= carriers - fast, "slow ones are loaded first"
@@ -111,10 +111,11 @@
     coordinator, _ = coordinator_of(20, MODELS[:2], demand)
     coordinator.version_named("a", 2)
     coordinator.version_named("b", 2)
-    assigned = coordinator._assigned()
+    named = {"a": 2, "b": 2}
+    assigned = coordinator._assigner.assign_all(named)
     assert {model: len(chosen) for model, chosen in assigned.items()} == {"a": 6, "b": 14}
     demand.work_s = {"a": 84.0, "b": 216.0}
-    assert len(coordinator._assigned()["a"]) == 6, "a small change costs no load"
+    assert len(coordinator._assigner.assign_all(named)["a"]) == 6, "a small change costs no load"
 
 
 def due_ids(coordinator, model="a"):
