--- a/tests/coordination/test_relay.py
+++ b/tests/coordination/test_relay.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from crankseam.coordination import relay
+from crankseam.coordination import way_to_store
 from crankseam.coordination.interface import (
     Condition,
     HistoryCompacted,
@@ -14,6 +14,7 @@
     read_prefix,
 )
 from crankseam.coordination.relay import RelayedStore
+from crankseam.coordination.relay_messages import RelayAnswer
 from crankseam.errors import KeyValueOutcomeUnknown, KeyValueUnavailable
 from crankseam_standins.memory_store import MemoryStore
 from tests.support.waiting import eventually
@@ -39,8 +40,8 @@
 
 @pytest.fixture
 def two(monkeypatch):
-    monkeypatch.setattr(relay, "FAILING_AFTER_SECONDS", 0.0)
-    monkeypatch.setattr(relay, "PROBE_SECONDS", 1000.0)
+    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(way_to_store, "PROBE_S", 1000.0)
     store = MemoryStore()
     ways = [OwnWay(store), OwnWay(store)]
     stores = {}
@@ -106,7 +107,7 @@
     own.error = KeyValueUnavailable("refused")
     await relayed.get("k")
     own.error = None
-    monkeypatch.setattr(relay, "PROBE_SECONDS", 0.0)
+    monkeypatch.setattr(way_to_store, "PROBE_S", 0.0)
     await relayed.get("k")
     peers_calls = peers.calls
     await relayed.get("k")
@@ -139,9 +140,9 @@
 
 
 async def test_a_peer_that_is_refused_too_is_passed_over_at_once(monkeypatch):
-    monkeypatch.setattr(relay, "FAILING_AFTER_SECONDS", 0.0)
-    monkeypatch.setattr(relay, "PROBE_SECONDS", 1000.0)
-    monkeypatch.setattr(relay.random, "choice", lambda found: sorted(found)[0])
+    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(way_to_store, "PROBE_S", 1000.0)
+    monkeypatch.setattr(way_to_store.random, "choice", lambda found: sorted(found)[0])
     store = MemoryStore()
     ways = {name: OwnWay(store) for name in "abcd"}
     stores = {}
@@ -162,7 +163,7 @@
 
 
 async def test_where_all_are_refused_the_failure_is_told(monkeypatch):
-    monkeypatch.setattr(relay, "FAILING_AFTER_SECONDS", 0.0)
+    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
     store = MemoryStore()
     ways = {name: OwnWay(store) for name in "ab"}
     stores = {}
@@ -180,8 +181,8 @@
 
 async def test_a_peer_that_can_do_nothing_goes_before_one_that_is_silent(monkeypatch):
     """In an outage for all, whoever is frozen must not be asked in place of the others."""
-    monkeypatch.setattr(relay, "FAILING_AFTER_SECONDS", 0.0)
-    monkeypatch.setattr(relay, "PROBE_SECONDS", 1000.0)
+    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(way_to_store, "PROBE_S", 1000.0)
     own = OwnWay(MemoryStore())
     own.error = KeyValueUnavailable("refused")
     asked = []
@@ -190,7 +191,7 @@
         asked.append((address, longest))
         if address == "silent":
             raise KeyValueOutcomeUnknown("silent")
-        return msgspec.msgpack.encode(relay.RelayAnswer(KeyValueUnavailable.__name__))
+        return msgspec.msgpack.encode(RelayAnswer(KeyValueUnavailable.__name__))
 
     relayed = RelayedStore(own, lambda: ["silent", "refused"], call_peer)
     silent_seen = False
@@ -201,5 +202,5 @@
         if silent_seen:
             assert [address for address, _ in asked] == ["refused"]
         silent_seen = silent_seen or ("silent" in [address for address, _ in asked])
-        assert max(longest for _, longest in asked) <= 0.7 + relay.WATCH_SLACK_SECONDS
+        assert max(longest for _, longest in asked) <= 0.7 + way_to_store.WATCH_SLACK_S
     assert silent_seen
