--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -1,4 +1,11 @@
-"""Orders samplers: what the holder of the scaling duty does."""
+"""Orders samplers: what the holder of the scaling duty does.
+
+Owns what it ordered under its token, which it forgets with the token: what an earlier holder
+ordered is not known. Relies on the duty, on discovery's samplers, on the newest configuration (what
+the operator allows) and on the open items of each model. The rules are in `crankseam.scaling`:
+`demand` (how many are needed), `plan` (of which kind and where), `supply` (what is there) and
+`ordering` (when an order is given).
+"""
 
 from __future__ import annotations
 
@@ -7,8 +14,8 @@
 import time
 from collections import defaultdict
 from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
-from crankseam.backoff import Backoff
 from crankseam.coordination.duty import Duty, DutyRefused, DutyUnanswered
 from crankseam.coordination.interface import CoordinationStore
 from crankseam.errors import KeyValueError
@@ -21,41 +28,26 @@
     ScalingBounds,
     ZoneSupply,
 )
+from crankseam.scaling.ordering import DryZones, OrderedCount
 from crankseam.scaling.plan import plan
+from crankseam.scaling.supply import SteadySupply, count_supply
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.routes import Configuration
 
 log = logging.getLogger(__name__)
 
 LOOK_S = 0.5
-RETRY_BASE_S = 0.5
-RETRY_CAP_S = 4.0
-ARRIVAL_SLACK_S = 4.0
-"""Samplers that are not there so long after they should have booted are ordered again: the order
-may have been overtaken by an older one, or a zone gave fewer."""
+"""Pause between two looks at what is there and what is needed; origin not recorded."""
 CALL_PAUSE_S = 0.1
-"""Pause between two orders: ten a second are a fifth of what the users' platform takes."""
-SETTLED_S = 1.5
-"""Nothing is ordered so long after more standing samplers came in: at the start of a deployment,
-and of this process, they are not all known yet."""
-DRY_S = 4.0
-"""What a zone can't give is ordered elsewhere for so long, and then asked for there again."""
-
-Subject = tuple[str, str, Kind]
+"""Pause after each order: ten a second are a fifth of what the users' platform takes."""
 
 
-class _Placed:
-    """One subject: what was ordered last, and when it may be ordered again."""
+class _Subject(NamedTuple):
+    """What one order sets the count of."""
 
-    def __init__(self) -> None:
-        self.count: int | None = None
-        """What the last order that was taken said; None if that is not known."""
-        self.taken_at = float("-inf")
-        self.wait_until = float("-inf")
-        self.backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
-
-    def wait(self) -> None:
-        self.wait_until = time.monotonic() + RETRY_BASE_S + self.backoff.next_delay()
+    service: str
+    zone: str
+    kind: Kind
 
 
 class SamplerScaling:
@@ -86,12 +78,12 @@
         self._configuration = configuration
         self._items_of = items_of
         self._fence: int | None = None
+        """The token under which the counts below were ordered."""
+        self._ordered: dict[_Subject, OrderedCount] = defaultdict(OrderedCount)
         self._needs: dict[str, SteadyCount] = {}
-        self._standing: dict[tuple[str, str], SteadyCount] = defaultdict(SteadyCount)
-        """By service and zone: one that crashes and returns must not cost a spot sampler."""
-        self._grew_at = float("-inf")
-        self._placed: dict[Subject, _Placed] = defaultdict(_Placed)
-        self._dry_until: dict[tuple[str, str], float] = {}
+        """Samplers that the work needs, by service."""
+        self._supply = SteadySupply()
+        self._dry = DryZones()
 
     async def run(self) -> None:
         """Order what is missing until cancelled."""
@@ -100,96 +92,78 @@
             await self._look()
 
     async def _look(self) -> None:
-        configuration = self._configuration()
-        if configuration is None:
-            return
-        scaled = [one for one in configuration.services.values() if one.scaling is not None]
+        scaled = self._scaled_services()
         if not scaled:
             return
         fence = await self._duty.take_turn()
         if fence is None:
             return
         if fence != self._fence:
-            # What an earlier holder ordered is not known.
-            self._placed.clear()
+            self._ordered.clear()
             self._fence = fence
-        for service in scaled:
-            assert service.scaling is not None
-            await self._scale(service.name, service.scaling, fence)
+        for service, bounds in scaled.items():
+            await self._scale(service, bounds, fence)
+
+    def _scaled_services(self) -> dict[str, ScalingBounds]:
+        """What the operator allows for each service with samplers on demand."""
+        configuration = self._configuration()
+        services = configuration.services.values() if configuration is not None else ()
+        return {one.name: one.scaling for one in services if one.scaling is not None}
 
     async def _scale(self, service: str, bounds: ScalingBounds, fence: int) -> None:
         back_ends = self._registry.of_service(service)
-        supply = {
-            zone: self._held_supply(service, zone, seen)
-            for zone, seen in self._supply(back_ends, bounds).items()
-        }
-        if not back_ends:
-            return
+        supply = self._supply_of(service, back_ends, bounds)
         now = time.monotonic()
-        if now - self._grew_at < SETTLED_S:
+        if not back_ends or not self._supply.is_settled(now):
             return
-        # The largest count before the work is known: one too many for a while costs less than a
-        # late first step.
-        most = bounds.largest * len(supply)
-        held = self._needs.setdefault(service, SteadyCount(most))
-        need = held.follow(self._need(back_ends))
-        dry = {zone for zone in supply if self._dry_until.get((service, zone), 0.0) > now}
+        need = self._steady_need(service, back_ends, bounds.largest * len(supply))
+        dry = {zone for zone in supply if self._dry.is_dry(service, zone, now)}
         for order in plan(service, bounds, supply, need, dry):
             if order.zone not in dry and self._is_due(order, supply[order.zone], bounds, now):
                 await self._order(order, fence)
 
-    def _held_supply(self, service: str, zone: str, seen: ZoneSupply) -> ZoneSupply:
-        """What is seen of a zone, with the standing samplers that were there until lately."""
-        held = self._standing[service, zone]
-        before = held.follow(None)
-        standing = held.follow(seen.standing)
-        if standing > before:
-            self._grew_at = time.monotonic()
-        return ZoneSupply(standing, seen.spot)
+    def _supply_of(
+        self, service: str, back_ends: list[BackEnd], bounds: ScalingBounds
+    ) -> dict[str, ZoneSupply]:
+        seen = count_supply(back_ends, bounds.zone_prices)
+        now = time.monotonic()
+        return {zone: self._supply.follow(service, zone, one, now) for zone, one in seen.items()}
+
+    def _steady_need(self, service: str, back_ends: list[BackEnd], largest: int) -> int:
+        """Samplers that the work needs; the largest count before the work is known.
+
+        One too many for a while costs less than a late first step.
+        """
+        held = self._needs.setdefault(service, SteadyCount(largest))
+        return held.follow(self._need(back_ends))
 
     def _need(self, back_ends: Iterable[BackEnd]) -> int | None:
         models = {model for one in back_ends for model in one.record.versions}
         slots = max((one.record.slots for one in back_ends), default=1)
         return need_of([self._items_of(model) for model in models], slots)
 
-    @staticmethod
-    def _supply(back_ends: Iterable[BackEnd], bounds: ScalingBounds) -> dict[str, ZoneSupply]:
-        counts: dict[str, dict[bool, int]] = {zone: {} for zone in bounds.zone_prices}
-        for one in back_ends:
-            record = one.record
-            if not record.leaving:
-                of_zone = counts.setdefault(record.zone, {})
-                of_zone[record.is_spot] = of_zone.get(record.is_spot, 0) + 1
-        return {
-            zone: ZoneSupply(of_kind.get(False, 0), of_kind.get(True, 0))
-            for zone, of_kind in counts.items()
-        }
-
     def _is_due(self, order: Order, supply: ZoneSupply, bounds: ScalingBounds, now: float) -> bool:
-        placed = self._placed[order.service, order.zone, order.kind]
-        if now < placed.wait_until:
-            return False
-        if placed.count != order.count:
-            return True
         there = supply.spot if order.kind is Kind.SPOT else supply.standing
-        return there < order.count and now - placed.taken_at > bounds.boot_s + ARRIVAL_SLACK_S
+        return self._ordered_of(order).is_due(order.count, there, bounds.boot_s, now)
+
+    def _ordered_of(self, order: Order) -> OrderedCount:
+        return self._ordered[_Subject(order.service, order.zone, order.kind)]
 
     async def _order(self, order: Order, fence: int) -> None:
-        # Directly before the call: the duty may have been lost meanwhile.
+        # Right before the call: the duty may have been lost meanwhile.
         if self._duty.fence() != fence:
             return
-        placed = self._placed[order.service, order.zone, order.kind]
+        ordered = self._ordered_of(order)
         outcome = "taken"
         try:
             await self._market.order_samplers(order, self._process, fence)
-            placed.count, placed.taken_at = order.count, time.monotonic()
-            placed.backoff.reset()
+            ordered.taken(order.count, time.monotonic())
         except OrderConflict:
             outcome = await self._conflict(order, fence)
-            placed.wait()
+            ordered.failed(time.monotonic())
         except (DutyRefused, DutyUnanswered) as error:
             outcome = f"{type(error).__name__}: {error}"
-            placed.wait()
+            ordered.failed(time.monotonic())
         log.info(
             "samplers_ordered",
             extra={
@@ -209,9 +183,10 @@
         try:
             entry = await self._store.get(self._duty.holder_key)
         except KeyValueError as error:
+            # Said in the outcome of the order's line; the order is given again.
             return f"refused, and the store did not say why ({type(error).__name__})"
         if entry is None or entry.revision != fence:
             self._duty.refuse(fence)
             return "fenced"
-        self._dry_until[order.service, order.zone] = time.monotonic() + DRY_S
+        self._dry.mark(order.service, order.zone, time.monotonic())
         return "none to be had"
--- a/src/crankseam/scaling/demand.py
+++ b/src/crankseam/scaling/demand.py
@@ -1,4 +1,13 @@
-"""How many samplers a service's work needs, without going to and fro."""
+"""How many samplers does a service's work need, without going to and fro?
+
+Inputs: the most items of each model that were open at one moment of the last 30 s; the largest
+number of slots of the service's samplers.
+Rule: a slot for each open item. The count goes up at once, and down only after it was lower for a
+while, to the highest of that while.
+Protects: a step ends with its longest items, and these end in time only if they begin at once; a
+sampler that goes between two steps would have to boot for the next.
+Shown by: `samplers_ordered`. Held by: tests/scaling/test_demand.py, tests/scaling/test_plan.py.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +18,7 @@
 
 LOWERED_AFTER_S = 60.0
 """A count goes down only after it was lower for so long: several steps of a trainer, and many times
-what a sampler takes to boot."""
+what a sampler takes to boot. Origin of the figure not recorded."""
 
 
 class SteadyCount:
@@ -19,6 +28,7 @@
     ==========
 
     first : what is held before anything is known.
+    clock : monotonic seconds.
     """
 
     def __init__(self, first: int = 0, clock: Callable[[], float] = time.monotonic) -> None:
--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -1,4 +1,7 @@
-"""What may be ordered of a service, what is there, and what is wanted."""
+"""What may be ordered of a service, what is there, and what is wanted.
+
+Free of any wire: an adapter implements `SamplerMarket` by the calls of its platform.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from crankseam.errors import CrankseamError
 
 DEFAULT_BOOT_S = 5.0
-"""Where the operator does not say how long a sampler takes to boot."""
+"""Seconds that a sampler takes to boot, where the operator does not say it; origin not recorded."""
 
 
 class OrderConflict(CrankseamError):
--- a/src/crankseam/scaling/plan.py
+++ b/src/crankseam/scaling/plan.py
@@ -1,4 +1,13 @@
-"""How many samplers of which kind each zone of a service is to hold."""
+"""How many samplers of which kind is each zone of a service to hold?
+
+Inputs: what the operator allows, what each zone holds, how many are needed altogether, and the
+zones that have none to give now.
+Rule: where there are spot samplers, the standing ones stay as they are and the rest is ordered as
+spot; else standing ones are ordered beyond the smallest counts. Zones get them one by one: the one
+with fewest first, the cheapest of these.
+Protects: spot samplers of a zone go all at once, so each zone holds as few of them as may be.
+Shown by: `samplers_ordered`. Held by: tests/scaling/test_plan.py.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +17,7 @@
 
 
 def samplers_for(open_items: int, slots: int) -> int:
-    """Samplers on which so many items have a place each.
+    """Samplers on which so many items have a slot each.
 
     Explanation
     ===========
@@ -26,9 +35,13 @@
 
 
 def spread(count: int, room: dict[str, int], prices: dict[str, float]) -> dict[str, int]:
-    """Deal samplers to zones one by one: to the zone with fewest, the cheapest of these first.
+    """Spread samplers over zones one by one: to the zone with fewest, the cheapest of these first.
+
+    Parameters
+    ==========
 
-    Spot samplers of a zone go all at once, so each zone holds as few of them as may be.
+    room : the most that each zone takes.
+    prices : of a sampler, by zone; 1 where it is not given.
 
     Examples
     ========
@@ -36,12 +49,12 @@
     >>> spread(4, {"a": 3, "b": 3, "c": 0}, {"a": 1.0, "b": 0.8, "c": 0.5})
     {'a': 2, 'b': 2, 'c': 0}
     """
-    dealt = dict.fromkeys(room, 0)
+    counts = dict.fromkeys(room, 0)
     for _ in range(min(count, sum(max(0, one) for one in room.values()))):
-        zones = [zone for zone in room if dealt[zone] < room[zone]]
-        chosen = min(zones, key=lambda zone: (dealt[zone], prices.get(zone, 1.0), zone))
-        dealt[chosen] += 1
-    return dealt
+        zones = [zone for zone in room if counts[zone] < room[zone]]
+        chosen = min(zones, key=lambda zone: (counts[zone], prices.get(zone, 1.0), zone))
+        counts[chosen] += 1
+    return counts
 
 
 def plan(
@@ -70,8 +83,8 @@
         for zone in supply
     }
     more = max(0, wanted - sum(one.standing for one in supply.values()))
-    dealt = spread(more, room, bounds.zone_prices)
-    return [_order(service, zone, Kind.SPOT, dealt[zone], wanted) for zone in sorted(dealt)]
+    spots = spread(more, room, bounds.zone_prices)
+    return [_order(service, zone, Kind.SPOT, spots[zone], wanted) for zone in sorted(spots)]
 
 
 def _standing_orders(
@@ -81,7 +94,7 @@
     wanted: int,
     dry: set[str],
 ) -> list[Order]:
-    """Orders where there are no spot samplers: beyond the smallest counts, dealt likewise."""
+    """Orders where there are no spot samplers: beyond the smallest counts, spread likewise."""
     room = {
         zone: supply[zone].standing - bounds.smallest
         if zone in dry
@@ -89,10 +102,10 @@
         for zone in supply
     }
     base = bounds.smallest * len(supply)
-    dealt = spread(max(0, wanted - base), room, bounds.zone_prices)
+    extra = spread(max(0, wanted - base), room, bounds.zone_prices)
     return [
-        _order(service, zone, Kind.STANDING, bounds.smallest + dealt[zone], wanted)
-        for zone in sorted(dealt)
+        _order(service, zone, Kind.STANDING, bounds.smallest + extra[zone], wanted)
+        for zone in sorted(extra)
     ]
 
 
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -9,6 +9,8 @@
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.scaling import actor as actor_module
 from crankseam.scaling import demand as demand_module
+from crankseam.scaling import ordering as ordering_module
+from crankseam.scaling import supply as supply_module
 from crankseam.scaling.actor import SamplerScaling
 from crankseam.scaling.model import OrderConflict, ScalingBounds
 from crankseam.serving.back_ends import BackEndRecord, BackEndRegistry
@@ -101,10 +103,10 @@
 @pytest.fixture
 async def two(monkeypatch):
     monkeypatch.setattr(actor_module, "LOOK_S", 0.05)
-    monkeypatch.setattr(actor_module, "DRY_S", 0.3)
-    monkeypatch.setattr(actor_module, "SETTLED_S", 0.1)
+    monkeypatch.setattr(ordering_module, "DRY_S", 0.3)
+    monkeypatch.setattr(supply_module, "SETTLED_S", 0.1)
     monkeypatch.setattr(demand_module, "LOWERED_AFTER_S", 0.3)
-    monkeypatch.setattr(actor_module, "ARRIVAL_SLACK_S", 0.5)
+    monkeypatch.setattr(ordering_module, "ARRIVAL_SLACK_S", 0.5)
     store, market = MemoryStore(), Market([])
     async with AsyncExitStack() as stack:
         processes = [await stack.enter_async_context(Process(store, name, market)) for name in "pq"]
