--- a/src/crankseam/usage/clock.py
+++ b/src/crankseam/usage/clock.py
@@ -1,4 +1,12 @@
-"""Time of day that does not follow the jumps of the machine's clock, and windows of it."""
+"""Which window of usage is it, when the machine's time of day jumps?
+
+Inputs: the machine's time of day, and the clock that counts suspended time, both in seconds.
+Rule: the offset between the two follows small differences. A jump is not followed, unless the new
+time stays for a long while.
+Protects: requests are counted in the window in which they began, also while a clock is set wrong by
+seconds and back again.
+Shown by: `clock_jumped`, `clock_believed`. Held by: tests/usage/test_clock.py.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +21,13 @@
 log = logging.getLogger(__name__)
 
 LOOK_S = 1.0
+"""The clocks are compared so often; origin not recorded."""
 JUMP_S = 0.25
 """A clock that moves this much against the steady one within a second is set, not drifting: a
 quartz drifts by 0.1 ms a second."""
 BELIEVED_AFTER_S = 60.0
-"""A new time of day that stays for so long is the true one: it was the old one that was wrong."""
+"""A new time of day that stays for so long is the true one: it was the old one that was wrong.
+Origin of the figure not recorded."""
 
 
 class TrueClock:
--- a/src/crankseam/usage/ledger.py
+++ b/src/crankseam/usage/ledger.py
@@ -1,4 +1,8 @@
-"""What is known of the windows that are not reported yet: what the holder of the duty keeps."""
+"""What the holder of the usage duty keeps of the windows that are not reported yet.
+
+Owns how counts of many processes become one report: sent twice or in another order they make the
+same. Kept in the store; the field names are part of its bytes and stay.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,8 @@
 from crankseam.usage.messages import TenantCounts, UsageCounts
 
 REPORTED_KEPT = 4
-"""Whoever counted has heard by then that the window is settled."""
+"""Reported windows that are remembered: whoever counted has heard by then that they are settled.
+Origin of the figure not recorded."""
 
 
 class UsageLedger(msgspec.Struct):
@@ -19,7 +24,7 @@
     ===========
 
     A window is settled once: from then on its counts never change, so that whoever reports it
-    reports the same. What is told of it later is lost.
+    reports the same. What comes later is lost.
 
     Attributes
     ==========
@@ -49,14 +54,14 @@
     settled: dict[int, TenantCounts] = {}
     reported: dict[int, TenantCounts] = {}
 
-    def take(self, told: UsageCounts) -> int:
+    def take(self, sent: UsageCounts) -> int:
         """Take what a process counted; how many requests came too late to be reported."""
         late = 0
-        for window, counts in told.windows.items():
+        for window, counts in sent.windows.items():
             if window < self.next_window:
                 late += self._missing(window, counts)
                 continue
-            known = self.open.setdefault(window, {}).setdefault(told.source, {})
+            known = self.open.setdefault(window, {}).setdefault(sent.source, {})
             for tenant, count in counts.items():
                 known[tenant] = max(count, known.get(tenant, 0))
         return late
--- a/src/crankseam/usage/messages.py
+++ b/src/crankseam/usage/messages.py
@@ -1,4 +1,8 @@
-"""What processes tell each other of usage, and who takes the reports. Free of any wire."""
+"""Counts of usage as processes send them to the holder of the duty, and who takes its reports.
+
+The counts travel between processes by their field names, which stay. `UsageSink` is free of any
+wire: an adapter implements it by the calls of its platform.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 class UsageCounts(msgspec.Struct, frozen=True):
     """All that a process counted in windows that are not settled, as far as it knows.
 
-    Counts only grow, so it does no harm to tell the same ones twice or in another order.
+    Counts only grow, so it does no harm to send the same ones twice or in another order.
 
     Attributes
     ==========
--- a/src/crankseam/usage/reporter.py
+++ b/src/crankseam/usage/reporter.py
@@ -1,4 +1,10 @@
-"""Settles and reports windows: what the holder of the usage duty does."""
+"""Settles and reports windows of usage: what the holder of the usage duty does.
+
+Owns the ledger, which it reads from the store under each new token and writes under the condition
+that it still holds the duty: so two holders never settle one window. Relies on the duty, on the
+corrected time of day, and on the counters of all processes, which send it what they counted. The
+rules are in `crankseam.usage.settling`.
+"""
 
 from __future__ import annotations
 
@@ -24,24 +30,24 @@
 from crankseam.usage.counter import MOST_WINDOWS
 from crankseam.usage.ledger import UsageLedger, decode_ledger, encode_ledger
 from crankseam.usage.messages import UsageCounts, UsageReceipt, UsageSink
+from crankseam.usage.settling import (
+    RESENT_AFTER_S,
+    first_unsettled,
+    save_pause_s,
+    windows_due,
+)
 
 log = logging.getLogger(__name__)
 
 LEDGER_KEY = "crankseam/usage/ledger"
 """Not below the prefix of states, which every process follows: only a new holder reads it."""
 LOOK_S = 0.2
-SETTLED_AFTER_SHARE = 0.35
-"""A window is settled after this share of the time in which its report is due: counts of requests
-that take long to answer come late, and the rest is left for a holder that goes and calls that
-fail."""
-TOLD_AGAIN_S = 1.0
-"""A new holder settles nothing for so long: the others tell it what the last one knew."""
-SAVED_EACH_S = 0.7
-"""What was counted is saved so often, so that the loss of all processes at once takes little."""
-SAVED_BYTES_PER_S = 30_000
-"""A large ledger is saved less often: 30 of 19,000 bytes a second each of 420 processes has."""
+"""Pause between two looks at what is to be settled, saved and reported; origin not recorded."""
 RETRY_BASE_S = 0.1
+"""Longest pause after a first report that was not taken; it doubles with each further one. Origin
+not recorded."""
 RETRY_CAP_S = 0.8
+"""The most to which the pause grows; origin not recorded."""
 
 
 class UsageReporter:
@@ -51,7 +57,13 @@
     ==========
 
     duty : the right to report.
-    late_s : a report is due so long after its window ended.
+    late_s : a report is due so many seconds after its window ended.
+
+    Attributes
+    ==========
+
+    reported, reported_late : windows whose reports were taken, and those of them after `late_s`.
+    lost : requests that no report counts.
     """
 
     def __init__(
@@ -72,33 +84,35 @@
         self._fence: int | None = None
         """The token under which the ledger was read; None while it has to be read."""
         self._settles_under = 0
-        """The token under which others have had time to tell their counts again."""
+        """The token under which others have had time to send their counts again."""
         self._ledger: UsageLedger | None = None
         self._revision = ABSENT
         self._early = UsageLedger(0)
-        """What was told before the ledger was read."""
+        """Counts that came before the ledger was read."""
         self._unsaved = False
+        """Whether counts came since the ledger was written."""
         self._save_at = float("-inf")
         self._settle_from = float("-inf")
         self._call_at = float("-inf")
+        """Monotonic seconds from which the next save, settlement and report may be."""
         self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         self.reported = 0
         self.reported_late = 0
         self.lost = 0
 
-    # --- what other processes tell
+    # --- counts of all processes
 
     async def serve(self, raw: bytes) -> bytes:
         """Answer another process's counts, or this one's."""
         return msgspec.msgpack.encode(self._take(msgspec.msgpack.decode(raw, type=UsageCounts)))
 
-    def _take(self, told: UsageCounts) -> UsageReceipt:
+    def _take(self, counts: UsageCounts) -> UsageReceipt:
         if not self._duty.is_holder():
             return UsageReceipt()
         if self._ledger is None:
-            self._early.take(told)
+            self._early.take(counts)
             return UsageReceipt(True)
-        late = self._ledger.take(told)
+        late = self._ledger.take(counts)
         if late:
             self._lose(late, "told after its window was settled")
         self._unsaved = True
@@ -137,11 +151,13 @@
         await self._report_settled()
 
     def _forget(self) -> None:
-        """Another process holds the duty, and whoever counted tells it anew."""
+        """Another process holds the duty, and whoever counted sends it all anew."""
         self._fence = None
         self._ledger = None
         self._early = UsageLedger(0)
 
+    # --- the ledger
+
     async def _read(self, fence: int) -> None:
         entry = await self._store.get(LEDGER_KEY)
         ledger = self._decode(entry)
@@ -153,12 +169,14 @@
         self._unsaved = True
         if fence != self._settles_under:
             self._settles_under = fence
-            self._settle_from = time.monotonic() + TOLD_AGAIN_S
+            self._settle_from = time.monotonic() + RESENT_AFTER_S
         self._fence = fence
 
     def _decode(self, entry: Entry | None) -> UsageLedger:
         current = self._clock.current_window()
-        first = UsageLedger(self._first_unsettled(current))
+        first = UsageLedger(
+            first_unsettled(current, self._clock.since_end_of, self._late_s, self._early.open)
+        )
         if entry is None:
             return first
         try:
@@ -188,33 +206,24 @@
         ]
         self._unsaved = False
         self._revision = await self._store.commit(Transaction(conditions, [Put(LEDGER_KEY, value)]))
-        # What was told meanwhile counts for windows that are still open.
+        # What came meanwhile counts for windows that are still open.
         late = written.merge_open(ledger)
         if late:
             self._lose(late, "told while its window was settled")
         self._ledger = written
-        self._save_at = time.monotonic() + max(SAVED_EACH_S, len(value) / SAVED_BYTES_PER_S)
+        self._save_at = time.monotonic() + save_pause_s(len(value))
         if due:
             log.info(
                 "usage_settled",
                 extra={"next_window": written.next_window, "windows": due, "fence": fence},
             )
 
-    def _first_unsettled(self, window: int) -> int:
-        """Others may have counted before the very first holder was there."""
-        after_s = SETTLED_AFTER_SHARE * self._late_s
-        while self._clock.since_end_of(window - 1) < after_s:
-            window -= 1
-        return min([window, *self._early.open])
-
     def _windows_due(self, ledger: UsageLedger) -> int:
-        due = 0
         if time.monotonic() < self._settle_from:
-            return due
-        after_s = SETTLED_AFTER_SHARE * self._late_s
-        while self._clock.since_end_of(ledger.next_window + due) >= after_s:
-            due += 1
-        return due
+            return 0
+        return windows_due(ledger.next_window, self._clock.since_end_of, self._late_s)
+
+    # --- reports
 
     async def _report_settled(self) -> None:
         ledger = self._ledger
@@ -224,8 +233,8 @@
                 return
 
     async def _report(self, ledger: UsageLedger, window: int) -> bool:
-        """Report one window; whether it was taken."""
-        # Directly before the call: the duty may have been lost meanwhile.
+        """Report one window; whether the report was taken."""
+        # Right before the call: the duty may have been lost meanwhile.
         fence = self._duty.fence()
         if fence is None or fence != self._fence:
             return False
