--- a/src/crankseam/coordination/interface.py
+++ b/src/crankseam/coordination/interface.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from crankseam.errors import KeyValueError
 
@@ -153,10 +153,17 @@
         """End a lease and remove its keys."""
 
 
-async def read_prefix(store: WatchedStore, prefix: str) -> tuple[list[Entry], int]:
-    """All entries of a prefix, and the revision of the first page; see read_whole_prefix."""
+class PrefixReading(NamedTuple):
+    """All entries of a prefix, and the revision from which a watch misses nothing."""
+
+    entries: list[Entry]
+    revision: int
+
+
+async def read_prefix(store: WatchedStore, prefix: str) -> PrefixReading:
+    """See read_whole_prefix."""
     whole = await read_whole_prefix(store, prefix)
-    return whole.entries, whole.revision
+    return PrefixReading(whole.entries, whole.revision)
 
 
 async def read_whole_prefix(store: WatchedStore, prefix: str) -> Page:
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -14,7 +14,7 @@
 
 import math
 from collections import Counter
-from collections.abc import Iterable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -151,18 +151,11 @@
     named: NamedVersion,
     needed_version: int | None,
     late_count: int,
-    paces: SamplerPaces,
+    priority: Callable[[BackEnd], LoadPriority],
     now: float,
 ) -> list[BackEnd]:
     """Samplers that can't serve the newest job, and some others: not all may come due at once.
 
-    Explanation
-    ===========
-
-    Where jobs may be served by a version that is `lag` older than the newest, each load serves
-    `lag` + 1 jobs, so that a part of the samplers loads each version and the others go on. Late
-    in a step more of them load, for the next step to begin on.
-
     Parameters
     ==========
 
@@ -177,16 +170,22 @@
     unusable = [one for one in behind if one.version_of(model) < usable_from]
     if now < named.loads_from:
         return unusable
-    wanted = math.ceil(len(carriers) / (newest - usable_from + 1))
+    wanted = _wanted_count(len(carriers), newest - usable_from)
     if named.is_late(now):
         wanted = max(wanted, min(len(carriers), late_count))
     up_to_date = len(carriers) - len(behind)
     missing = max(0, wanted - up_to_date - len(unusable))
-    usable = sorted(
-        (one for one in behind if one.version_of(model) >= usable_from),
-        key=lambda one: LoadPriority.of(one, model, newest, paces, now),
-    )
-    return unusable + usable[:missing]
+    usable = (one for one in behind if one.version_of(model) >= usable_from)
+    return unusable + sorted(usable, key=priority)[:missing]
+
+
+def _wanted_count(carriers: int, lag: int) -> int:
+    """How many samplers load each version, where jobs may be served by one that is `lag` older.
+
+    Each load then serves `lag` + 1 jobs: a part of the samplers loads each version, and the others
+    go on.
+    """
+    return math.ceil(carriers / (lag + 1))
 
 
 def loads_to_start(
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -158,11 +158,11 @@
             for model, back_ends in carriers.items()
             for back_end in self._due(model, back_ends)
         ]
-        return sorted(found, key=lambda load: self._priority(load, now))
+        return sorted(found, key=lambda load: self._priority(load.back_end, load.model, now))
 
-    def _priority(self, load: Load, now: float) -> LoadPriority:
-        version = self._named[load.model].version
-        return LoadPriority.of(load.back_end, load.model, version, self._paces, now)
+    def _priority(self, back_end: BackEnd, model: str, now: float) -> LoadPriority:
+        version = self._named[model].version
+        return LoadPriority.of(back_end, model, version, self._paces, now)
 
     def _due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
         now = time.monotonic()
@@ -172,7 +172,15 @@
         if named.is_late(now):
             service = back_ends[0].record.service
             late_count = free_loads(self._registry.of_service(service))
-        return due_samplers(back_ends, model, named, needed, late_count, self._paces, now)
+        return due_samplers(
+            back_ends,
+            model,
+            named,
+            needed,
+            late_count,
+            lambda back_end: self._priority(back_end, model, now),
+            now,
+        )
 
     def _loads_to_start(self, due: list[Load], carriers: dict[str, list[BackEnd]]) -> list[Load]:
         samplers = {
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -5,6 +5,7 @@
 
 from crankseam.orders import loads as loads_module
 from crankseam.orders import version_coordinator as module
+from crankseam.orders.demand import UnknownDemand
 from crankseam.orders.messages import RunningRequests, SamplerReport
 from crankseam.orders.version_coordinator import VersionCoordinator
 from crankseam.serving.back_ends import BackEndRecord, BackEndRegistry
@@ -42,18 +43,11 @@
         self.loading[back_end.record.id] = order.model
 
 
-class Demand:
-    """Jobs that any version from `needed` on may serve, and the seconds of work that they are."""
+class Demand(UnknownDemand):
+    """Jobs that any version from `needed` on may serve."""
 
-    def __init__(self, needed, work_s=None):
+    def __init__(self, needed):
         self.needed = needed
-        self.work_s = work_s or {}
-
-    def items_of(self, model):
-        return None
-
-    def work_s_of(self, model):
-        return self.work_s.get(model)
 
     def needed_version(self, model):
         return self.needed
@@ -106,18 +100,6 @@
         running.cancel()
 
 
-def test_a_model_whose_items_are_more_work_gets_more_samplers():
-    demand = Demand(1, {"a": 90.0, "b": 210.0})
-    coordinator, _ = coordinator_of(20, MODELS[:2], demand)
-    coordinator.version_named("a", 2)
-    coordinator.version_named("b", 2)
-    named = {"a": 2, "b": 2}
-    assigned = coordinator._assigner.assign_all(named)
-    assert {model: len(chosen) for model, chosen in assigned.items()} == {"a": 6, "b": 14}
-    demand.work_s = {"a": 84.0, "b": 216.0}
-    assert len(coordinator._assigner.assign_all(named)["a"]) == 6, "a small change costs no load"
-
-
 def due_ids(coordinator, model="a"):
     coordinator._named[model] = replace(coordinator._named[model], loads_from=0.0)
     back_ends = coordinator._registry.of_service("svc")
