--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -1,11 +1,10 @@
-"""What this process believes of each back end, and the choice between them."""
+"""What this process believes of each back end."""
 
 from __future__ import annotations
 
 import logging
-import random
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from crankseam.serving.engine_memory import OTHERS_TOKENS, EngineMemory, RunSize
@@ -182,34 +181,3 @@
             for back_end in self._by_service.get(service, {}).values()
             if not back_end.record.leaving
         ]
-
-
-def choose(
-    candidates: Iterable[BackEnd],
-    zone: str,
-    excluded: Iterable[str] = (),
-    generator: random.Random | None = None,
-) -> BackEnd | None:
-    """The least loaded candidate; avoided ones only when there is no other.
-
-    Args:
-        zone: the caller's zone, preferred between equals.
-        excluded: ids that were tried already.
-    """
-    draw = generator or random
-    now = time.monotonic()
-    left = [one for one in candidates if one.record.id not in excluded]
-    if not left:
-        return None
-
-    def cost(back_end: BackEnd) -> tuple[bool, float, bool, float]:
-        slots = max(1, back_end.record.slots)
-        load = back_end.expected_load(now) / slots
-        return (
-            back_end.avoid_until > now,
-            round(load, 2),
-            back_end.record.zone != zone,
-            draw.random(),
-        )
-
-    return min(left, key=cost)
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -14,7 +14,8 @@
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.model import TrialSubject, default_most_ends
 from crankseam.quarantine.trial import Send, Trial
-from crankseam.serving.back_ends import BackEnd, BackEndRegistry, choose
+from crankseam.serving.back_ends import BackEnd, BackEndRegistry
+from crankseam.serving.choice import choose
 from crankseam.serving.messages import (
     Answer,
     AttemptBroken,
--- a/tests/serving/test_choice.py
+++ b/tests/serving/test_choice.py
@@ -3,7 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankseam.serving.back_ends import BackEnd, BackEndRecord, BackEndRegistry, choose
+from crankseam.serving.back_ends import BackEnd, BackEndRecord, BackEndRegistry
+from crankseam.serving.choice import choose
 from crankseam.serving.routes import (
     Configuration,
     RequestKind,
