--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -161,10 +161,11 @@
 
     def _choose(self, service: str, progress: _Progress) -> BackEnd | None:
         candidates = self._registry.of_service(service)
-        found = choose(candidates, self._zone, progress.tried)
+        now = clocks.paced_s()
+        found = choose(candidates, self._zone, now, progress.tried)
         if found is None and not progress.may_have_run:
             # All turned it away: another round, since they may have room by now.
-            found = choose(candidates, self._zone)
+            found = choose(candidates, self._zone, now)
         return found
 
     async def _hedged(
--- a/tests/serving/test_choice.py
+++ b/tests/serving/test_choice.py
@@ -1,10 +1,12 @@
+import random
+import time
 from collections import Counter
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from crankseam.serving.back_ends import BackEnd, BackEndRecord, BackEndRegistry
-from crankseam.serving.choice import choose
+from crankseam.serving.choice import choose as choose_at
 from crankseam.serving.routes import (
     Configuration,
     RequestKind,
@@ -23,6 +25,10 @@
     return BackEnd(BackEndRecord(name, "s", "1.1.1.1:1", fields.pop("zone", "z"), 4), **fields)
 
 
+def choose(candidates, zone, excluded=()):
+    return choose_at(candidates, zone, time.monotonic(), excluded)
+
+
 def test_the_longest_prefix_of_the_host_wins():
     routes = (make_route("/a/", name="a"), make_route("/a/b/", name="ab"))
     configuration = Configuration(1, (*routes, make_route("/a/b/c/", host="other")))
@@ -58,6 +64,16 @@
     assert choose([one, other], "z") is one
 
 
+def test_the_callers_zone_wins_between_equals_and_a_random_tie_break_between_the_rest():
+    here, there = back_end("here", zone="z"), back_end("there", zone="y")
+    assert {choose([there, here], "z") for _ in range(20)} == {here}
+    here.in_flight = 1
+    assert choose([there, here], "z") is there
+    here.in_flight, twin = 0, back_end("twin", zone="z")
+    generator, now = random.Random(1), time.monotonic()
+    assert {choose_at([here, twin], "z", now, (), generator) for _ in range(20)} == {here, twin}
+
+
 def test_an_id_that_comes_back_after_it_went_is_another_incarnation():
     registry = BackEndRegistry()
     record = BackEndRecord("a", "s", "1.1.1.1:1", "z", 4)
