--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -6,14 +6,13 @@
 import logging
 from collections.abc import AsyncGenerator, Callable
 from contextlib import aclosing
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 
 from crankseam import clocks
-from crankseam.constants import OUTCOME_NOT_RUN, OUTCOME_UNKNOWN
-from crankseam.errors import OutcomeUnknown, Problem, Unavailable
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.model import TrialSubject, default_most_ends
 from crankseam.quarantine.trial import Send, Trial
+from crankseam.serving import retry
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.choice import choose
 from crankseam.serving.messages import (
@@ -24,34 +23,11 @@
     InboundRequest,
     StreamingAnswer,
 )
+from crankseam.serving.retry import TURNED_AWAY_PAUSE_SECONDS, Progress
 from crankseam.serving.routes import RequestKind, Route, TrafficSplitter
 
 log = logging.getLogger(__name__)
 
-HEDGE_TARGET_SHARE = 0.75
-"""A repeatable request gets a second attempt after this share of its target latency."""
-ANSWER_MARGIN_SECONDS = 0.03
-"""The caller gets its answer this much before it would stop waiting."""
-MAX_TURNED_AWAY = 4
-"""Back ends that may turn one request away before it is given up."""
-TURNED_AWAY_PAUSE_SECONDS = 0.02
-RETRY_AFTER_SECONDS = 0.1
-SERVER_ERROR = 500
-
-
-@dataclass
-class _Progress:
-    """What happened to one request so far."""
-
-    trial: Trial
-    tried: set[str] = field(default_factory=set)
-    may_have_run: int = 0
-    turned_away: int = 0
-    last_failure: Answer | None = None
-    reasons: list[str] = field(default_factory=list)
-    began_at: float | None = None
-    """Time of promises at which it was sent to the first back end that may have run it."""
-
 
 class Forwarder:
     """Forwards requests of one process.
@@ -85,10 +61,10 @@
             Problem: the request was given up; its outcome says whether it may have run.
         """
         service = self._splitter.pick(route)
-        end = min(request.deadline, request.received_at + route.timeout) - ANSWER_MARGIN_SECONDS
+        end = retry.end_of_attempts(request, route)
         trial = self._guard.begin(_subject(request, route), default_most_ends(route.kind))
         await trial.admit()
-        progress = _Progress(trial)
+        progress = Progress(trial)
         answer: Answer | StreamingAnswer | None = None
         try:
             async with asyncio.timeout_at(
@@ -97,8 +73,7 @@
                 answer = await self._attempt_until_answered(request, route, service, end, progress)
         except TimeoutError:
             answer = None
-            by_route = request.received_at + route.timeout <= request.deadline
-            progress.reasons.append("route's timeout" if by_route else "caller's deadline")
+            progress.reasons.append(retry.reason_of_end(request, route))
         finally:
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
@@ -122,30 +97,24 @@
             },
         )
         if answer is None:
-            raise self._given_up(progress)
+            raise retry.problem_when_given_up(progress)
         return answer
 
-    def _given_up(self, progress: _Progress) -> Problem:
-        reason = progress.reasons[-1] if progress.reasons else "no back end took it"
-        if progress.may_have_run:
-            return OutcomeUnknown(reason, OUTCOME_UNKNOWN)
-        return Unavailable(reason, OUTCOME_NOT_RUN, RETRY_AFTER_SECONDS)
-
     async def _attempt_until_answered(
         self,
         request: InboundRequest,
         route: Route,
         service: str,
         end: float,
-        progress: _Progress,
+        progress: Progress,
     ) -> Answer | StreamingAnswer | None:
         repeatable = route.kind is RequestKind.REPEATABLE
         while True:
-            if progress.may_have_run >= (route.max_attempts if repeatable else 1):
+            if not retry.has_attempts_left(route, progress):
                 return None
             if clocks.promised_s() >= end:
                 raise TimeoutError
-            if progress.turned_away >= MAX_TURNED_AWAY or not progress.trial.may_send():
+            if retry.is_turned_away_for_good(progress) or not progress.trial.may_send():
                 return None
             first = self._choose(service, progress)
             if first is None:
@@ -159,12 +128,11 @@
             if progress.turned_away:
                 await asyncio.sleep(TURNED_AWAY_PAUSE_SECONDS)
 
-    def _choose(self, service: str, progress: _Progress) -> BackEnd | None:
+    def _choose(self, service: str, progress: Progress) -> BackEnd | None:
         candidates = self._registry.of_service(service)
         now = clocks.paced_s()
         found = choose(candidates, self._zone, now, progress.tried)
-        if found is None and not progress.may_have_run:
-            # All turned it away: another round, since they may have room by now.
+        if found is None and retry.may_try_again_where_tried(progress):
             found = choose(candidates, self._zone, now)
         return found
 
@@ -175,14 +143,13 @@
         service: str,
         first: BackEnd,
         end: float,
-        progress: _Progress,
+        progress: Progress,
     ) -> Answer | StreamingAnswer | None:
         """One attempt, and a second one elsewhere when the first is slow."""
         tasks = {asyncio.create_task(self._attempt(request, route, first, end, progress))}
         try:
-            patience = route.target_latency * HEDGE_TARGET_SHARE
-            done, tasks = await asyncio.wait(tasks, timeout=patience)
-            may_hedge = progress.may_have_run < route.max_attempts and progress.trial.may_send()
+            done, tasks = await asyncio.wait(tasks, timeout=retry.hedge_after_s(route))
+            may_hedge = retry.has_attempts_left(route, progress) and progress.trial.may_send()
             if not done and may_hedge:
                 second = self._choose(service, progress)
                 if second is not None and second.record.id not in progress.tried:
@@ -210,7 +177,7 @@
         route: Route,
         back_end: BackEnd,
         end: float,
-        progress: _Progress,
+        progress: Progress,
     ) -> Answer | StreamingAnswer | None:
         """One attempt at one back end; None when it gave nothing that ends the request."""
         progress.tried.add(back_end.record.id)
@@ -242,7 +209,7 @@
         if isinstance(answer, StreamingAnswer):
             back_end.succeeded()
             return replace(answer, chunks=self._watched(answer, back_end, progress.trial))
-        if answer.status >= SERVER_ERROR and route.kind is RequestKind.REPEATABLE:
+        if retry.is_tried_again(route, answer):
             progress.reasons.append(f"{back_end.record.id}: status {answer.status}")
             progress.last_failure = answer
             back_end.failed()
@@ -263,7 +230,7 @@
         except AttemptBroken as failure:
             send.ended_id = await self._guard.ended_id(back_end, failure)
             raise
-        send.was_answered = isinstance(answer, Answer) and answer.status < SERVER_ERROR
+        send.was_answered = isinstance(answer, Answer) and not retry.is_server_error(answer)
         return answer
 
     async def _watched(
@@ -279,7 +246,7 @@
                     except AttemptBroken as failure:
                         send.ended_id = await self._guard.ended_id(back_end, failure)
                         raise
-                send.was_answered = answer.status < SERVER_ERROR
+                send.was_answered = not retry.is_server_error(answer)
         finally:
             trial.close()
 
