--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -1,4 +1,10 @@
-"""Forwards one request: choice of a back end, attempts, a second attempt for slow ones."""
+"""Forwards one request to a back end, and again where that is allowed.
+
+Owns the attempts of a request: their tasks, their end at the deadline, and what each back end is
+told of them (slots in use, failures). The decisions are elsewhere: which back end in `choice`, how
+often and when to give up in `retry`, whether it is held back in `quarantine`.
+Relies on the registry for what discovery says, and on a `BackEndClient` for the wire.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +12,7 @@
 import logging
 from collections.abc import AsyncGenerator, Callable
 from contextlib import aclosing
-from dataclasses import replace
+from dataclasses import dataclass, field, replace
 
 from crankseam import clocks
 from crankseam.quarantine.crash_guard import CrashGuard
@@ -23,20 +29,40 @@
     InboundRequest,
     StreamingAnswer,
 )
-from crankseam.serving.retry import TURNED_AWAY_PAUSE_SECONDS, Progress
+from crankseam.serving.retry import AttemptHistory
 from crankseam.serving.routes import RequestKind, Route, TrafficSplitter
 
 log = logging.getLogger(__name__)
 
 
+@dataclass(frozen=True)
+class _Forwarding:
+    """One request on its way.
+
+    Attributes
+    ==========
+
+    ends_at : time of promises, in seconds, at which it is given up.
+    """
+
+    request: InboundRequest
+    route: Route
+    service: str
+    ends_at: float
+    trial: Trial
+    history: AttemptHistory = field(default_factory=AttemptHistory)
+
+
 class Forwarder:
     """Forwards requests of one process.
 
-    Args:
-        guard: holds back requests under which back ends ended.
-        zone: where this process runs; back ends there are preferred between equals.
-        on_begun: called once for each request that may have begun to run, with its tenant and the
-            time of promises at which it did.
+    Parameters
+    ==========
+
+    guard : holds back requests under which back ends ended.
+    zone : where this process runs; back ends there are preferred between equals.
+    on_begun : called once for each request that may have begun to run, with its tenant and the
+        time of promises at which it did.
     """
 
     def __init__(
@@ -57,108 +83,84 @@
     async def forward(self, request: InboundRequest, route: Route) -> Answer | StreamingAnswer:
         """Answer a request, within its deadline and its route's timeout.
 
-        Raises:
-            Problem: the request was given up; its outcome says whether it may have run.
+        Raises
+        ======
+
+        Problem : the request was given up; its outcome says whether it may have run.
         """
         service = self._splitter.pick(route)
-        end = retry.end_of_attempts(request, route)
-        trial = self._guard.begin(_subject(request, route), default_most_ends(route.kind))
+        ends_at = retry.attempts_end(request, route)
+        trial = self._guard.begin(trial_subject(request, route), default_most_ends(route.kind))
         await trial.admit()
-        progress = Progress(trial)
+        forwarding = _Forwarding(request, route, service, ends_at, trial)
+        history = forwarding.history
         answer: Answer | StreamingAnswer | None = None
         try:
-            async with asyncio.timeout_at(
-                asyncio.get_running_loop().time() + end - clocks.promised_s()
-            ):
-                answer = await self._attempt_until_answered(request, route, service, end, progress)
+            loop_end = asyncio.get_running_loop().time() + ends_at - clocks.promised_s()
+            async with asyncio.timeout_at(loop_end):
+                answer = await self._attempt_until_answered(forwarding)
         except TimeoutError:
             answer = None
-            progress.reasons.append(retry.reason_of_end(request, route))
+            history.reasons.append(retry.reason_of_end(request, route))
         finally:
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
-            if progress.began_at is not None and self._on_begun is not None:
-                self._on_begun(request.tenant, progress.began_at)
+            if history.began_at is not None and self._on_begun is not None:
+                self._on_begun(request.tenant, history.began_at)
         if answer is None:
-            answer = progress.last_failure
-        log.info(
-            "request_answered" if answer is not None else "request_given_up",
-            extra={
-                "request": request.id,
-                "route": route.name,
-                "service": service,
-                "tenant": request.tenant,
-                "status": answer.status if answer is not None else None,
-                "attempts": sorted(progress.tried),
-                "reasons": progress.reasons,
-                "ended": trial.ended,
-                "fingerprint": trial.subject.fingerprint if trial.ended else "",
-                "seconds": round(clocks.promised_s() - request.received_at, 4),
-            },
-        )
+            answer = history.last_failure
+        _log_end(forwarding, answer)
         if answer is None:
-            raise retry.problem_when_given_up(progress)
+            raise retry.problem_when_given_up(history)
         return answer
 
     async def _attempt_until_answered(
-        self,
-        request: InboundRequest,
-        route: Route,
-        service: str,
-        end: float,
-        progress: Progress,
+        self, forwarding: _Forwarding
     ) -> Answer | StreamingAnswer | None:
-        repeatable = route.kind is RequestKind.REPEATABLE
-        while True:
-            if not retry.has_attempts_left(route, progress):
-                return None
-            if clocks.promised_s() >= end:
+        route, history = forwarding.route, forwarding.history
+        while retry.has_attempts_left(route, history):
+            if clocks.promised_s() >= forwarding.ends_at:
                 raise TimeoutError
-            if retry.is_turned_away_for_good(progress) or not progress.trial.may_send():
+            if retry.is_rejected_too_often(history) or not forwarding.trial.may_send():
                 return None
-            first = self._choose(service, progress)
+            first = self._choose(forwarding)
             if first is None:
                 return None
-            if repeatable:
-                answer = await self._hedged(request, route, service, first, end, progress)
+            if route.kind is RequestKind.REPEATABLE:
+                answer = await self._hedged(forwarding, first)
             else:
-                answer = await self._attempt(request, route, first, end, progress)
+                answer = await self._attempt(forwarding, first)
             if answer is not None:
                 return answer
-            if progress.turned_away:
-                await asyncio.sleep(TURNED_AWAY_PAUSE_SECONDS)
+            if history.rejections:
+                await asyncio.sleep(retry.REJECTION_PAUSE_S)
+        return None
 
-    def _choose(self, service: str, progress: Progress) -> BackEnd | None:
-        candidates = self._registry.of_service(service)
+    def _choose(self, forwarding: _Forwarding) -> BackEnd | None:
+        history = forwarding.history
+        candidates = self._registry.of_service(forwarding.service)
         now = clocks.paced_s()
-        found = choose(candidates, self._zone, now, progress.tried)
-        if found is None and retry.may_try_again_where_tried(progress):
+        found = choose(candidates, self._zone, now, history.tried)
+        if found is None and retry.may_repeat_back_ends(history):
             found = choose(candidates, self._zone, now)
         return found
 
     async def _hedged(
-        self,
-        request: InboundRequest,
-        route: Route,
-        service: str,
-        first: BackEnd,
-        end: float,
-        progress: Progress,
+        self, forwarding: _Forwarding, first: BackEnd
     ) -> Answer | StreamingAnswer | None:
         """One attempt, and a second one elsewhere when the first is slow."""
-        tasks = {asyncio.create_task(self._attempt(request, route, first, end, progress))}
+        tasks = {asyncio.create_task(self._attempt(forwarding, first))}
         try:
-            done, tasks = await asyncio.wait(tasks, timeout=retry.hedge_after_s(route))
-            may_hedge = retry.has_attempts_left(route, progress) and progress.trial.may_send()
-            if not done and may_hedge:
-                second = self._choose(service, progress)
-                if second is not None and second.record.id not in progress.tried:
+            patience_s = retry.hedge_after_s(forwarding.route)
+            done, tasks = await asyncio.wait(tasks, timeout=patience_s)
+            if not done:
+                second = self._choose_second(forwarding)
+                if second is not None:
                     log.info(
                         "request_hedged",
-                        extra={"request": request.id, "slow": first.record.id},
+                        extra={"request": forwarding.request.id, "slow": first.record.id},
                     )
-                    attempt = self._attempt(request, route, second, end, progress)
-                    tasks = tasks | {asyncio.create_task(attempt)}
+                    tasks = tasks | {asyncio.create_task(self._attempt(forwarding, second))}
             while True:
                 for task in done:
                     answer = task.result()
@@ -171,59 +173,53 @@
             for task in tasks:
                 task.cancel()
 
+    def _choose_second(self, forwarding: _Forwarding) -> BackEnd | None:
+        """The back end of a second attempt beside the first; None if there is to be none."""
+        history = forwarding.history
+        if not retry.has_attempts_left(forwarding.route, history):
+            return None
+        if not forwarding.trial.may_send():
+            return None
+        second = self._choose(forwarding)
+        if second is None or second.record.id in history.tried:
+            return None
+        return second
+
     async def _attempt(
-        self,
-        request: InboundRequest,
-        route: Route,
-        back_end: BackEnd,
-        end: float,
-        progress: Progress,
+        self, forwarding: _Forwarding, back_end: BackEnd
     ) -> Answer | StreamingAnswer | None:
         """One attempt at one back end; None when it gave nothing that ends the request."""
-        progress.tried.add(back_end.record.id)
-        progress.may_have_run += 1
+        history = forwarding.history
+        history.sent_to(back_end.record.id)
         back_end.in_flight += 1
-        sent_at, ran = clocks.promised_s(), True
+        sent_at, may_have_run = clocks.promised_s(), True
         try:
-            with progress.trial.sending() as send:
-                answer = await self._send(request, route, back_end, end, send)
-        except AttemptNotRun as refusal:
-            ran = False
-            progress.may_have_run -= 1
-            progress.turned_away += 1
-            progress.reasons.append(f"{back_end.record.id}: {refusal.reason}")
-            back_end.was_full()
-            self._guard.turned_away(back_end, refusal)
-            if refusal.wrong_instance:
-                back_end.failed()
+            with forwarding.trial.sending() as send:
+                answer = await self._send(forwarding, back_end, send)
+        except AttemptNotRun as rejection:
+            may_have_run = False
+            history.rejected_by(back_end.record.id, rejection.reason)
+            self._take_rejection(back_end, rejection)
             return None
         except AttemptBroken as failure:
-            progress.reasons.append(f"{back_end.record.id}: {failure.reason}")
+            history.broke_at(back_end.record.id, failure.reason)
             back_end.failed()
             return None
         finally:
             back_end.in_flight -= 1
-            if ran:
-                began_at = progress.began_at if progress.began_at is not None else sent_at
-                progress.began_at = min(sent_at, began_at)
-        if isinstance(answer, StreamingAnswer):
-            back_end.succeeded()
-            return replace(answer, chunks=self._watched(answer, back_end, progress.trial))
-        if retry.is_tried_again(route, answer):
-            progress.reasons.append(f"{back_end.record.id}: status {answer.status}")
-            progress.last_failure = answer
-            back_end.failed()
-            return None
-        back_end.succeeded()
-        return answer
+            if may_have_run:
+                history.may_have_begun(sent_at)
+        return self._take_answer(forwarding, back_end, answer)
 
     async def _send(
-        self, request: InboundRequest, route: Route, back_end: BackEnd, end: float, send: Send
+        self, forwarding: _Forwarding, back_end: BackEnd, send: Send
     ) -> Answer | StreamingAnswer:
         """Send it once, and note for its trial what came of it."""
-        relay = route.kind is not RequestKind.REPEATABLE
+        relay = forwarding.route.kind is not RequestKind.REPEATABLE
         try:
-            answer = await self._client.send(back_end, request, end, relay)
+            answer = await self._client.send(
+                back_end, forwarding.request, forwarding.ends_at, relay
+            )
         except AttemptNotRun:
             send.was_not_run = True
             raise
@@ -233,6 +229,26 @@
         send.was_answered = isinstance(answer, Answer) and not retry.is_server_error(answer)
         return answer
 
+    def _take_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
+        back_end.was_full()
+        self._guard.turned_away(back_end, rejection)
+        if rejection.wrong_instance:
+            back_end.failed()
+
+    def _take_answer(
+        self, forwarding: _Forwarding, back_end: BackEnd, answer: Answer | StreamingAnswer
+    ) -> Answer | StreamingAnswer | None:
+        """The answer for the caller; None where another attempt may follow."""
+        if isinstance(answer, StreamingAnswer):
+            back_end.succeeded()
+            return replace(answer, chunks=self._watched(answer, back_end, forwarding.trial))
+        if retry.is_tried_again_after(forwarding.route, answer):
+            forwarding.history.failed_at(back_end.record.id, answer)
+            back_end.failed()
+            return None
+        back_end.succeeded()
+        return answer
+
     async def _watched(
         self, answer: StreamingAnswer, back_end: BackEnd, trial: Trial
     ) -> AsyncGenerator[bytes, None]:
@@ -251,7 +267,27 @@
             trial.close()
 
 
-def _subject(request: InboundRequest, route: Route) -> TrialSubject:
+def _log_end(forwarding: _Forwarding, answer: Answer | StreamingAnswer | None) -> None:
+    request, history, trial = forwarding.request, forwarding.history, forwarding.trial
+    log.info(
+        "request_answered" if answer is not None else "request_given_up",
+        extra={
+            "request": request.id,
+            "route": forwarding.route.name,
+            "service": forwarding.service,
+            "tenant": request.tenant,
+            "status": answer.status if answer is not None else None,
+            "attempts": sorted(history.tried),
+            "reasons": history.reasons,
+            "ended": trial.ended,
+            "fingerprint": trial.subject.fingerprint if trial.ended else "",
+            "seconds": round(clocks.promised_s() - request.received_at, 4),
+        },
+    )
+
+
+def trial_subject(request: InboundRequest, route: Route) -> TrialSubject:
+    """What the quarantine compares of a request, and what its log lines name."""
     return TrialSubject(
         request.id,
         request.tenant,
--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -1,4 +1,15 @@
-"""How often a request is sent, when a second attempt is sent, and when it is given up."""
+"""How often is a request sent, when does it get a second attempt, what is its caller told?
+
+Inputs: the route (most attempts, timeout and target latency in seconds), the caller's deadline
+(time of promises), and what became of the attempts so far; all are the request's own, none is old.
+Rule: A repeatable request may run `max_attempts` times, any other once; a rejected attempt did not
+run and does not count, but `MOST_REJECTIONS` of them end the request. A repeatable one whose first
+attempt is slow gets a second one elsewhere beside it, and the first answer counts. At the caller's
+deadline or the route's timeout it is given up; "not run" is said only if no attempt may have run.
+Protects: requests that may run once from running twice, and callers from a slow or broken back end.
+Shown by: `request_hedged`, `request_answered` and `request_given_up` (attempts, reasons).
+Held by: tests/serving/test_retry.py, tests/platform/test_front.py.
+"""
 
 from __future__ import annotations
 
@@ -6,38 +17,81 @@
 
 from crankseam.constants import OUTCOME_NOT_RUN, OUTCOME_UNKNOWN
 from crankseam.errors import OutcomeUnknown, Problem, Unavailable
-from crankseam.quarantine.trial import Trial
 from crankseam.serving.messages import Answer, InboundRequest, StreamingAnswer
 from crankseam.serving.routes import RequestKind, Route
 
 HEDGE_TARGET_SHARE = 0.75
-"""A repeatable request gets a second attempt after this share of its target latency."""
-ANSWER_MARGIN_SECONDS = 0.03
-"""The caller gets its answer this much before it would stop waiting."""
-MAX_TURNED_AWAY = 4
-"""Back ends that may turn one request away before it is given up."""
-TURNED_AWAY_PAUSE_SECONDS = 0.02
-RETRY_AFTER_SECONDS = 0.1
+"""A repeatable request gets a second attempt after this share of its route's target latency, so
+that the second has the rest of it. Origin not recorded."""
+ANSWER_MARGIN_S = 0.03
+"""Seconds by which the caller gets its answer before it would stop waiting: the way back, and the
+event loop's lag. Origin not recorded."""
+MOST_REJECTIONS = 4
+"""Back ends that may reject one request before it is given up: its caller comes back after a pause,
+perhaps at another process with newer reports of load. Origin not recorded."""
+REJECTION_PAUSE_S = 0.02
+"""Seconds between an attempt that broke or was rejected and the next one, once a back end has
+rejected the request. Origin not recorded."""
 SERVER_ERROR = 500
+"""HTTP statuses from here on say that the back end failed."""
+
+RETRY_AFTER_NO_BACK_END_S = 0.1
+"""`Retry-After`, seconds, of a request that no back end took: slots come free within one request's
+time. Fixed, without spread. Origin not recorded."""
 
 
 @dataclass
-class Progress:
-    """What happened to one request so far."""
+class AttemptHistory:
+    """What became of the attempts of one request so far.
+
+    Attributes
+    ==========
+
+    tried : ids of the back ends that it was sent to.
+    may_have_run : attempts that run, or that may have run; rejected ones are not among them.
+    rejections : attempts that a back end did not run and never will.
+    last_failure : the newest answer that said that its back end failed.
+    reasons : why each attempt did not end the request, and at last why it was given up.
+    began_at : time of promises, in seconds, at which it was sent to the first back end that may
+        have run it.
+    """
 
-    trial: Trial
     tried: set[str] = field(default_factory=set)
     may_have_run: int = 0
-    turned_away: int = 0
+    rejections: int = 0
     last_failure: Answer | None = None
     reasons: list[str] = field(default_factory=list)
     began_at: float | None = None
-    """Time of promises at which it was sent to the first back end that may have run it."""
 
+    def sent_to(self, back_end_id: str) -> None:
+        """An attempt begins."""
+        self.tried.add(back_end_id)
+        self.may_have_run += 1
+
+    def rejected_by(self, back_end_id: str, reason: str) -> None:
+        """An attempt did not run."""
+        self.may_have_run -= 1
+        self.rejections += 1
+        self.reasons.append(f"{back_end_id}: {reason}")
+
+    def broke_at(self, back_end_id: str, reason: str) -> None:
+        """An attempt gave no whole answer."""
+        self.reasons.append(f"{back_end_id}: {reason}")
 
-def end_of_attempts(request: InboundRequest, route: Route) -> float:
-    """Time of promises at which a request is given up."""
-    return min(request.deadline, request.received_at + route.timeout) - ANSWER_MARGIN_SECONDS
+    def failed_at(self, back_end_id: str, answer: Answer) -> None:
+        """An attempt was answered by a failure."""
+        self.reasons.append(f"{back_end_id}: status {answer.status}")
+        self.last_failure = answer
+
+    def may_have_begun(self, sent_at: float) -> None:
+        """An attempt that was sent at this time of promises may have run."""
+        began_at = self.began_at if self.began_at is not None else sent_at
+        self.began_at = min(sent_at, began_at)
+
+
+def attempts_end(request: InboundRequest, route: Route) -> float:
+    """Time of promises, in seconds, at which a request is given up."""
+    return min(request.deadline, request.received_at + route.timeout) - ANSWER_MARGIN_S
 
 
 def reason_of_end(request: InboundRequest, route: Route) -> str:
@@ -46,40 +100,43 @@
     return "route's timeout" if by_route else "caller's deadline"
 
 
-def has_attempts_left(route: Route, progress: Progress) -> bool:
-    """Whether it may run once more."""
-    repeatable = route.kind is RequestKind.REPEATABLE
-    return progress.may_have_run < (route.max_attempts if repeatable else 1)
+def has_attempts_left(route: Route, history: AttemptHistory) -> bool:
+    """Whether a request may run once more, beside attempts that are under way."""
+    most_runs = route.max_attempts if route.kind is RequestKind.REPEATABLE else 1
+    return history.may_have_run < most_runs
+
 
+def is_rejected_too_often(history: AttemptHistory) -> bool:
+    """Whether a request is given up, since so many back ends rejected it."""
+    return history.rejections >= MOST_REJECTIONS
 
-def is_turned_away_for_good(progress: Progress) -> bool:
-    """Whether so many turned it away that it is given up."""
-    return progress.turned_away >= MAX_TURNED_AWAY
 
+def may_repeat_back_ends(history: AttemptHistory) -> bool:
+    """Whether back ends that were tried may be tried again, if there is no other.
 
-def may_try_again_where_tried(progress: Progress) -> bool:
-    """All turned it away: another round, since they may have room by now."""
-    return not progress.may_have_run
+    If all of them rejected the request, some may have room by now.
+    """
+    return not history.may_have_run
 
 
 def hedge_after_s(route: Route) -> float:
-    """Seconds after which a slow first attempt gets a second one beside it."""
+    """Seconds after which a slow first attempt of a repeatable request gets a second beside it."""
     return route.target_latency * HEDGE_TARGET_SHARE
 
 
 def is_server_error(answer: Answer | StreamingAnswer) -> bool:
-    """Whether a back end failed."""
+    """Whether an answer says that its back end failed."""
     return answer.status >= SERVER_ERROR
 
 
-def is_tried_again(route: Route, answer: Answer) -> bool:
-    """Whether an answer does not end the request."""
+def is_tried_again_after(route: Route, answer: Answer) -> bool:
+    """Whether another attempt may follow an answer; else the caller gets it."""
     return is_server_error(answer) and route.kind is RequestKind.REPEATABLE
 
 
-def problem_when_given_up(progress: Progress) -> Problem:
-    """What the caller is told."""
-    reason = progress.reasons[-1] if progress.reasons else "no back end took it"
-    if progress.may_have_run:
+def problem_when_given_up(history: AttemptHistory) -> Problem:
+    """What the caller is told if no answer can be given."""
+    reason = history.reasons[-1] if history.reasons else "no back end took it"
+    if history.may_have_run:
         return OutcomeUnknown(reason, OUTCOME_UNKNOWN)
-    return Unavailable(reason, OUTCOME_NOT_RUN, RETRY_AFTER_SECONDS)
+    return Unavailable(reason, OUTCOME_NOT_RUN, RETRY_AFTER_NO_BACK_END_S)
