--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -111,10 +111,6 @@
         """Whether a back end of this id is in discovery."""
         return self._registry.by_id(back_end_id) is not None
 
-    def is_slow(self, back_end: BackEnd) -> bool:
-        """Whether its events take much longer than those of its service's other samplers."""
-        return self.paces.is_slow(back_end, self._registry.of_service(back_end.record.service))
-
     # --- moves
 
     def wish_to_move(
--- a/src/crankseam/jobs/errors.py
+++ b/src/crankseam/jobs/errors.py
@@ -37,7 +37,3 @@
 
 class JobIdTaken(CrankseamError):
     """A job of another tenant was accepted under this id."""
-
-
-class JobTooLarge(CrankseamError):
-    """The job does not fit the store."""
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -81,10 +81,6 @@
         for result in self._unlisted(finished):
             self._finish(result)
 
-    def is_listed(self, item_id: str) -> bool:
-        """Whether the item has its result."""
-        return item_id in self._listed_ids
-
     def is_certain(self) -> bool:
         """Whether readers of the store can not have seen results that this runner doesn't know.
 
--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -128,7 +128,7 @@
     back_ends = registry.of_service("llm")
     for one, pace in zip(back_ends, [0.004, 0.00001, 0.00002], strict=True):
         dispatcher.paces.seen(one, pace)
-    assert not dispatcher.is_slow(back_ends[0])
+    assert not dispatcher.paces.slow_ids(back_ends)
     assert not granted(dispatcher, back_ends[0], is_long=True)
 
 
@@ -138,7 +138,7 @@
     back_ends = registry.of_service("llm")
     for one, pace in zip(back_ends, [0.2, 0.04, 0.04, 0.05], strict=True):
         dispatcher.paces.seen(one, pace)
-    assert dispatcher.is_slow(back_ends[0]) and not dispatcher.is_slow(back_ends[3])
+    assert dispatcher.paces.slow_ids(back_ends) == {back_ends[0].record.id}
     assert granted(dispatcher, back_ends[0]) in back_ends[1:]
     assert not granted(dispatcher, back_ends[3])
     assert not granted(dispatcher, back_ends[0], min_version=2), "none carries version 2"
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -22,6 +22,10 @@
     )
 
 
+def listed_ids(runner):
+    return [result.id for result in runner.results]
+
+
 async def test_a_chunk_that_was_read_while_it_was_listed_is_taken_once():
     runner = make_runner()
     first, second = [ItemResult("j1-i0", True)], [ItemResult("j1-i1", True)]
@@ -69,10 +73,10 @@
     monkeypatch.setattr(runner, "_result_of", result_of)
     running = asyncio.create_task(runner.run())
     try:
-        await eventually(lambda: runner.is_listed("j1-i1"))
+        await eventually(lambda: "j1-i1" in listed_ids(runner))
         assert runner.chunks == 1, "one write for what was there"
         never.set()
-        await eventually(lambda: runner.is_listed("j1-i3"))
+        await eventually(lambda: "j1-i3" in listed_ids(runner))
     finally:
         running.cancel()
 
