--- a/src/crankseam/jobs/peer_reads.py
+++ b/src/crankseam/jobs/peer_reads.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from functools import singledispatchmethod
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import msgspec
 
@@ -16,9 +16,6 @@
 from crankseam.jobs.errors import JobUnknown
 from crankseam.jobs.model import ItemDefinition, ItemResult
 
-if TYPE_CHECKING:
-    from crankseam.jobs.service import JobService
-
 ANSWER_SLACK_S = 0.3
 """An owner that answers later than this is not waited for: the store is asked instead."""
 
@@ -62,14 +59,27 @@
         """One item's definition; None if the owner did not say."""
 
 
+class OwnedJobs(Protocol):
+    """The jobs of this process, as far as others ask for them."""
+
+    def is_owner(self, job_id: str) -> bool:
+        """See JobService.is_owner."""
+
+    async def read(self, job_id: str, position: int, wait: float) -> tuple[int, list[ItemResult]]:
+        """See JobService.read."""
+
+    async def item(self, job_id: str, item_id: str) -> ItemDefinition:
+        """See JobService.item."""
+
+
 class PeerReads:
     """See OwnerClient; also answers for the jobs that this process owns."""
 
     def __init__(self, ask: ProcessAsker) -> None:
         self._ask_owner = ask
-        self._jobs: JobService | None = None
+        self._jobs: OwnedJobs | None = None
 
-    def answer_for(self, jobs: JobService) -> None:
+    def answer_for(self, jobs: OwnedJobs) -> None:
         """Answer other processes with this process's jobs."""
         self._jobs = jobs
 
@@ -101,7 +111,7 @@
             answer = OwnerAnswer()
         return msgspec.msgpack.encode(answer)
 
-    def _owned(self, job_id: str) -> JobService:
+    def _owned(self, job_id: str) -> OwnedJobs:
         if self._jobs is None or not self._jobs.is_owner(job_id):
             raise KeyValueUnavailable("not the owner")
         return self._jobs
