--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -35,6 +35,7 @@
     ==========
 
     process : this process's name.
+    state : follows the prefix of jobs' states.
     """
 
     def __init__(
@@ -44,6 +45,7 @@
         running: RunningJobs,
         supervisor: Supervisor,
         process: str,
+        state: PrefixFollower,
     ) -> None:
         self._repository = repository
         self._lease = lease
@@ -51,19 +53,13 @@
         self._supervisor = supervisor
         self._name = process
         self._process = process.encode()
-        self._state: PrefixFollower | None = None
+        self._state = state
         self._claiming: set[str] = set()
         self.demand = ModelDemand()
         self.active = True
         """False once this process hands its jobs over."""
 
-    def follow(self, state: PrefixFollower) -> None:
-        """Decide by this follower's copy of the jobs' states."""
-        self._state = state
-
     def _owner(self, job_id: str) -> Entry | None:
-        if self._state is None:
-            return None
         return self._state.entries.get(OWNER_PREFIX + job_id)
 
     def other_owner(self, job_id: str) -> str | None:
@@ -113,7 +109,7 @@
 
     def _needs_owner(self, job_id: str) -> bool:
         """Whether the job is open and has no living owner, as far as is known."""
-        if self._state is None or OPEN_PREFIX + job_id not in self._state.entries:
+        if OPEN_PREFIX + job_id not in self._state.entries:
             return False
         if self._owner(job_id) is None:
             return True
@@ -144,18 +140,15 @@
 
     def _claim_delay_s(self, job_id: str) -> float:
         """How long this process leaves a job to those that rank before it."""
-        return turn_delay_s(rank_by_capacity(self._subject(job_id), self._living()), self._name)
+        living = living_capacities(self._state)
+        return turn_delay_s(rank_by_capacity(self._subject(job_id), living), self._name)
 
     def _subject(self, job_id: str) -> str:
         """What processes are ranked for: the model, whose next jobs go to the same process."""
-        opened = self._state.entries.get(OPEN_PREFIX + job_id) if self._state is not None else None
+        opened = self._state.entries.get(OPEN_PREFIX + job_id)
         model = decode_open_job(opened.value).model if opened is not None else ""
         return model or job_id
 
-    def _living(self) -> dict[str, float]:
-        """The processes that announced themselves, with the sizes of their machines."""
-        return living_capacities(self._state) if self._state is not None else {}
-
     async def _claim(self, job_id: str) -> bool:
         """Try once; True when there is nothing left to try."""
         try:
--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -49,7 +49,10 @@
         is_long: bool,
     ) -> ItemResult:
         """The item's result; `kept` grows meanwhile. See ItemRun."""
-        result = await self._make_text(job, item, rank, kept, is_long)
+        if kept.whole:
+            result = whole_result(item, kept)
+        else:
+            result = await self._result_of(ItemRun(job, item, rank, self._parts, kept, is_long))
         if not result.completed or item.scoring is None:
             return result
         route = self._find_route(job)
@@ -59,19 +62,10 @@
             return ItemResult(item.id, False)
         return msgspec.structs.replace(result, score=score)
 
-    async def _make_text(
-        self,
-        job: JobDefinition,
-        item: ItemDefinition,
-        rank: tuple[float, ...],
-        kept: PartialText,
-        is_long: bool,
-    ) -> ItemResult:
-        if kept.whole:
-            return whole_result(item, kept)
-        begun_elsewhere = bool(kept.events)
-        run = ItemRun(job, item, rank, self._parts, kept, is_long)
+    async def _result_of(self, run: ItemRun) -> ItemResult:
+        """Run an item, and learn how long it held places if all of it was made here."""
+        begun_elsewhere = bool(run.kept.events)
         result = await run.run()
         if result.completed and not begun_elsewhere:
-            self.item_seconds.ended(job.model, item, run.held_s)
+            self.item_seconds.ended(run.job.model, run.item, run.held_s)
         return result
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -78,12 +78,13 @@
         self.running = RunningJobs(
             self._make_runner, self.lease, self._reader, self._carried, supervisor
         )
-        self.claims = JobClaims(self._repository, self.lease, self.running, supervisor, process)
         self.pace_sharing = PaceSharing(
             store, self.lease, process, dispatcher.paces, dispatcher.knows
         )
         self.state = PrefixFollower(watched or store, STATE_PREFIX, self._state_changed, watch_wait)
-        self.claims.follow(self.state)
+        self.claims = JobClaims(
+            self._repository, self.lease, self.running, supervisor, process, self.state
+        )
         self.tenants = JobTenants(self._repository, self.running, self.state)
         self.lease.on_new.append(self.claims.lease_replaced)
         self.lease.on_recovered.append(self.state.restart)
