--- a/src/crankseam_experiments/plots.py
+++ b/src/crankseam_experiments/plots.py
@@ -43,36 +43,6 @@
     (out / "report.html").write_text(page, encoding="utf-8")
 
 
-def write_scale_report(report: dict[str, Any], out: Path) -> None:
-    """Cost by size, and how long a change takes to reach all nodes."""
-    sizes = [item["nodes"] for item in report["sizes"]]
-    figure, axes = plt.subplots(1, 3, figsize=(14, 4))
-    roles = sorted({role for item in report["sizes"] for role in item["steady"]["roles"]})
-    for role in roles:
-        points = [
-            (item["nodes"], item["steady"]["roles"][role])
-            for item in report["sizes"]
-            if role in item["steady"]["roles"]
-        ]
-        numbers = [number for number, _ in points]
-        axes[0].plot(numbers, [p["bytes_per_second_max"] for _, p in points], "o-", label=role)
-    axes[0].axhline(report["budget"]["bytes_per_second"]["budget"], color="red", ls=":")
-    axes[0].set_title("bytes/s sent, highest of the role")
-    axes[1].axhline(report["budget"]["cpu_percent"]["budget"], color="red", ls=":")
-    for field in ("cpu_percent_per_node", "cpu_percent_per_relay"):
-        costs = [item["steady"][field] for item in report["sizes"]]
-        axes[1].plot(sizes, costs, "o-", label=field)
-    axes[1].set_title("% of a core")
-    for name in ("p50", "p99", "max"):
-        values = [item["configuration"]["node_seconds"][name] for item in report["sizes"]]
-        axes[2].plot(sizes, values, "o-", label=name)
-    axes[2].set_title("seconds until a change is on a node")
-    for axis in axes:
-        axis.set_xlabel("nodes")
-        axis.legend()
-    write_page(report["name"], [figure], report, out)
-
-
 def write_comparison_report(
     report: dict[str, Any], runs: dict[str, list[dict[str, Any]]], out: Path
 ) -> None:
--- a/src/crankseam_experiments/spec.py
+++ b/src/crankseam_experiments/spec.py
@@ -136,28 +136,15 @@
     """How many seeds a comparison runs, from the one given on."""
 
 
-class SlopesExperiment(_Concern):
-    """Costs of one more unit of work, in one process."""
-
-    name: str
-    kind: Literal["slopes"]
-    records: int = Field(default=4000, ge=100)
-
-
-AnyExperiment = Experiment | SlopesExperiment
-MODELS: dict[str, type[AnyExperiment]] = {"slopes": SlopesExperiment}
-
-
-def load_experiment(file: Path) -> AnyExperiment:
+def load_experiment(file: Path) -> Experiment:
     """Read and check an experiment file.
 
     Raises:
         InvalidConfiguration: with one FieldError for each thing wrong.
     """
     text, content = read_toml(file)
-    model = MODELS.get(str(content.get("kind")), Experiment)
     try:
-        return model.model_validate(content)
+        return Experiment.model_validate(content)
     except ValidationError as error:
         errors = []
         for detail in error.errors():
--- a/src/crankseam_experiments/verb.py
+++ b/src/crankseam_experiments/verb.py
@@ -17,8 +17,7 @@
 from crankseam_experiments.latency import run_latency
 from crankseam_experiments.losses import read_jobs, read_report, tell_losses
 from crankseam_experiments.runner import run_processes
-from crankseam_experiments.slopes import run_slopes
-from crankseam_experiments.spec import SlopesExperiment, load_experiment
+from crankseam_experiments.spec import load_experiment
 from crankseam_experiments.weakened_node import WEAKENINGS
 
 DEPLOYMENT_FOLDER = Path(__file__).parents[2] / "platform"
@@ -69,16 +68,12 @@
     spec = load_experiment(arguments.file)
     arguments.out.mkdir(parents=True, exist_ok=True)
     out = arguments.out.resolve()
-    if isinstance(spec, SlopesExperiment):
-        report = asyncio.run(run_slopes(spec, out))
-    elif spec.kind == "latency":
-        folder = arguments.file.resolve().parent
+    folder = arguments.file.resolve().parent
+    if spec.kind == "latency":
         report = asyncio.run(run_latency(spec, folder, arguments.seed, out))
     elif spec.policies:
-        folder = arguments.file.resolve().parent
         report = asyncio.run(run_comparison(spec, folder, arguments.seed, out))
     else:
-        folder = arguments.file.resolve().parent
         report = asyncio.run(run_processes(spec, folder, arguments.seed, out, arguments.weaken))
     (out / "report.json").write_text(json.dumps(report, indent=2) + "\n", encoding="utf-8")
     print(json.dumps(report["summary"], sort_keys=True))
