--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+import statistics
 import time
 from pathlib import Path
 from typing import Any
 
 import aiohttp
-import numpy
 
 from crankseam.config.kinds import Service
 from crankseam.identifiers import new_dated_id
@@ -52,10 +52,8 @@
 
 
 def _describe(values: list[float]) -> dict[str, float]:
-    return {
-        "p50": round(float(numpy.percentile(values, 50)), 3),
-        "p99": round(float(numpy.percentile(values, 99)), 3),
-    }
+    percentiles = statistics.quantiles(values, n=100, method="inclusive")
+    return {"p50": round(percentiles[49], 3), "p99": round(percentiles[98], 3)}
 
 
 async def run_latency(spec: Experiment, folder: Path, seed: int, out: Path) -> dict[str, Any]:
