--- a/src/crankseam_experiments/verb.py
+++ b/src/crankseam_experiments/verb.py
@@ -13,14 +13,13 @@
 
 from crankseam.cli import exit_codes
 from crankseam_experiments.comparison import run_comparison
-from crankseam_experiments.journal_plot import plot_journal
 from crankseam_experiments.latency import run_latency
-from crankseam_experiments.losses import read_jobs, read_report, tell_losses
 from crankseam_experiments.runner import run_processes
 from crankseam_experiments.spec import load_experiment
 from crankseam_experiments.weakened_node import WEAKENINGS
 
-DEPLOYMENT_FOLDER = Path(__file__).parents[2] / "platform"
+PLATFORM_FOLDER = Path(__file__).parents[2] / "platform"
+"""Of the checkout in which this package is installed."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -60,11 +59,14 @@
     if arguments.action == "soak":
         return _soak(arguments)
     if arguments.action == "journal":
-        print(json.dumps(plot_journal(arguments.folder, arguments.out), sort_keys=True))
-        return exit_codes.OK
+        return _journal(arguments)
     if arguments.action == "losses":
-        print(tell_losses(read_report(arguments.report), read_jobs(arguments.log)))
-        return exit_codes.OK
+        return _losses(arguments)
+    return _experiment(arguments)
+
+
+def _experiment(arguments: argparse.Namespace) -> int:
+    """Run one experiment file and write its report."""
     spec = load_experiment(arguments.file)
     arguments.out.mkdir(parents=True, exist_ok=True)
     out = arguments.out.resolve()
@@ -83,9 +85,32 @@
     return exit_codes.OK
 
 
+def _find_platform_packages() -> None:
+    """Make the packages of `platform/` importable: only these verbs need them."""
+    sys.path.insert(0, str(PLATFORM_FOLDER))
+
+
+def _journal(arguments: argparse.Namespace) -> int:
+    """Plot the scores that the journal keeps."""
+    _find_platform_packages()
+    from crankseam_platform_bench.journal_plot import plot_journal
+
+    print(json.dumps(plot_journal(arguments.folder, arguments.out), sort_keys=True))
+    return exit_codes.OK
+
+
+def _losses(arguments: argparse.Namespace) -> int:
+    """Print where the worth of one played day went."""
+    _find_platform_packages()
+    from crankseam_platform_bench.losses import read_jobs, read_report, tell_losses
+
+    print(tell_losses(read_report(arguments.report), read_jobs(arguments.log)))
+    return exit_codes.OK
+
+
 def _soak(arguments: argparse.Namespace) -> int:
     """Run one soak, or all seeds that once failed."""
-    sys.path.insert(0, str(DEPLOYMENT_FOLDER))
+    _find_platform_packages()
     from crankseam_platform_standins.soak.run import regression_seeds, run_soak
 
     seconds = arguments.minutes * 60.0
--- a/tests/experiments/test_journal_plot.py
+++ b/tests/platform_bench/test_journal_plot.py
@@ -1,6 +1,6 @@
 import json
 
-from crankseam_experiments.journal_plot import plot_journal, read_rounds, scores_by_day
+from crankseam_platform_bench.journal_plot import plot_journal, read_rounds, scores_by_day
 
 
 def entry(number, score, days, command="score"):
--- a/tests/experiments/test_losses.py
+++ b/tests/platform_bench/test_losses.py
@@ -2,7 +2,7 @@
 
 import json
 
-from crankseam_experiments.losses import read_jobs, tell_losses
+from crankseam_platform_bench.losses import read_jobs, tell_losses
 
 REPORT = {
     "G": 0.6,
