--- a/src/crankseam_standins/account.py
+++ b/src/crankseam_standins/account.py
@@ -13,11 +13,9 @@
 
     def __init__(self, path: Path | None) -> None:
         self._file = path.open("ab", buffering=0) if path is not None else None
-        self.entries = 0
 
     def append(self, entry: dict[str, Any]) -> None:
         """Write one entry down at once."""
-        self.entries += 1
         if self._file is not None:
             self._file.write(msgspec.json.encode(entry) + b"\n")
 
--- a/src/crankseam_standins/faults.py
+++ b/src/crankseam_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be asked for over `POST /_faults`, and its account of what ran."""
+"""Faults that a stand-in can be asked for over `POST /_faults`."""
 
 from __future__ import annotations
 
@@ -48,8 +48,6 @@
         self.on_order: Callable[[FaultOrder], None] = lambda _order: None
         self._window_start = 0.0
         self._window_count = 0
-        self.requests = 0
-        self.request_times: list[float] = []
 
     def is_down(self) -> bool:
         """Whether the stand-in plays dead now."""
@@ -92,8 +90,6 @@
         async def apply(request: web.Request, handler: Handler) -> web.StreamResponse:
             if request.path.startswith(CONTROL_PREFIX):
                 return await handler(request)
-            self.requests += 1
-            self.request_times.append(time.time())
             if self.is_down():
                 return web.Response(status=503)
             if self._over_rate():
--- a/src/crankseam_standins/key_value.py
+++ b/src/crankseam_standins/key_value.py
@@ -215,10 +215,4 @@
         return response
 
     async def _account(self, _request: web.Request) -> web.Response:
-        return web.json_response(
-            {
-                "requests": self.faults.requests,
-                "request_times": self.faults.request_times,
-                "keys": len(self._keys),
-            }
-        )
+        return web.json_response({"keys": len(self._keys)})
--- a/src/crankseam_standins/sampler.py
+++ b/src/crankseam_standins/sampler.py
@@ -10,7 +10,6 @@
 import time
 from collections import deque
 from dataclasses import dataclass, field
-from typing import Any
 
 import aiohttp
 import msgspec
@@ -24,7 +23,6 @@
 VOCABULARY = 50_000
 MIN_SLEEP = 0.001
 NO_BOUND = 1_000_000
-MAX_CACHE_EVENTS = 10_000
 
 
 def sample_length(parameters: SamplerParameters, prompt: str, max_tokens: int) -> int:
@@ -87,14 +85,10 @@
             parameters.kv_tokens // parameters.prefix_block // 2, parameters.prefix_block
         )
         self._reports: deque[tuple[float, int, int]] = deque(maxlen=1000)
-        self._cache_events: deque[dict[str, Any]] = deque(maxlen=MAX_CACHE_EVENTS)
-        self._cache_sequence = itertools.count(1)
-        self._random = random.Random(name)
         self._paused_until = 0.0
         self._loop_task: asyncio.Task[None] | None = None
         self._session: aiohttp.ClientSession
         self.account = account
-        self.refused_orders = 0
         self.busy_seconds = 0.0
         self.tokens_made = 0
         self._started = time.time()
@@ -107,7 +101,6 @@
         app.router.add_post("/admin/load", self._load)
         app.router.add_post("/admin/switch", self._switch)
         app.router.add_get("/admin/state", self._state)
-        app.router.add_get("/cache_events", self._get_cache_events)
         app.router.add_get("/metrics", self._metrics)
         app.router.add_get("/_account", self._account)
         app.on_startup.append(self._start)
@@ -168,7 +161,6 @@
             words = len(sequence.prompt.split()) + sequence.position
             cached = self._cache.cached_tokens(sequence.prompt)
             sequence.prefill_tokens = max(0, words - cached)
-            self._publish_cache_event(sequence.prompt)
             self._running.append(sequence)
 
     def _step(self) -> float:
@@ -278,7 +270,6 @@
 
     def _refuse_fence(self, fence: int) -> web.Response | None:
         if fence < self._fence:
-            self.refused_orders += 1
             return web.json_response({"fence": self._fence}, status=409)
         self._fence = fence
         return None
@@ -336,19 +327,6 @@
     def _note_load(self) -> None:
         self._reports.append((time.monotonic(), len(self._running), len(self._waiting)))
 
-    def _publish_cache_event(self, prompt: str) -> None:
-        number = next(self._cache_sequence)
-        if self._random.random() >= self._parameters.cache_event_loss:
-            block = " ".join(prompt.split()[: self._parameters.prefix_block])
-            digest = hashlib.blake2b(block.encode(), digest_size=8).hexdigest()
-            self._cache_events.append({"sequence": number, "block": digest, "at": time.time()})
-
-    async def _get_cache_events(self, request: web.Request) -> web.Response:
-        after = int(request.query.get("after", 0))
-        visible = time.time() - self._parameters.cache_event_lag
-        events = [e for e in self._cache_events if e["sequence"] > after and e["at"] <= visible]
-        return web.json_response({"events": events})
-
     async def _metrics(self, _request: web.Request) -> web.Response:
         visible = time.monotonic() - self._parameters.report_lag
         running, waiting = 0, 0
@@ -369,7 +347,6 @@
         return web.json_response(
             {
                 "name": self.name,
-                "refused_orders": self.refused_orders,
                 "serving": self.serving,
                 "busy_seconds": self.busy_seconds,
                 "tokens": self.tokens_made,
--- a/src/crankseam_standins/sampler_parameters.py
+++ b/src/crankseam_standins/sampler_parameters.py
@@ -36,10 +36,6 @@
     """Assumed: swapping pointers and recomputing running sequences' KV cache."""
     report_lag: float = 0.3
     """Load reports show the state of this long ago. Not scaled."""
-    cache_event_lag: float = 1.0
-    """Cache events come this late. Not scaled."""
-    cache_event_loss: float = 0.05
-    """Share of cache events that never come (the gaps in their numbers show it)."""
     median_length: int = 200
     """Median sample length in tokens; the workload's own, not the engine's."""
     length_sigma: float = 0.8
