--- a/src/crankseam_experiments/fault_injection.py
+++ b/src/crankseam_experiments/fault_injection.py
@@ -7,16 +7,13 @@
 import sys
 import time
 from collections import Counter
-from typing import TYPE_CHECKING
 
 from crankseam.clients.key_value import KeyValueClient
 from crankseam.config.changes import apply_plan, make_plan
 from crankseam.config.kinds import Limit, SamplerPool, Service
 from crankseam.errors import ApplyConflict, KeyValueError
 from crankseam_experiments.auditor import Window
-
-if TYPE_CHECKING:
-    from crankseam_experiments.runner import ExperimentRun
+from crankseam_experiments.experiment_run import ExperimentRun
 
 RECOVERY_TIMEOUT_SECONDS = 40.0
 LEAVE_SECONDS = 5.0
--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -11,8 +11,8 @@
 
 from crankseam.config.kinds import Service
 from crankseam.identifiers import new_dated_id
+from crankseam_experiments.experiment_run import ExperimentRun
 from crankseam_experiments.plots import write_page
-from crankseam_experiments.runner import ExperimentRun
 from crankseam_experiments.spec import Experiment
 
 REQUESTS = 2000
--- a/src/crankseam_experiments/report.py
+++ b/src/crankseam_experiments/report.py
@@ -4,12 +4,10 @@
 
 import dataclasses
 import statistics
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from crankseam_experiments.auditor import Evidence, Finding, audit
-
-if TYPE_CHECKING:
-    from crankseam_experiments.runner import ExperimentRun
+from crankseam_experiments.experiment_run import ExperimentRun
 
 
 def _percentile(values: list[float], fraction: float) -> float:
