--- a/src/crankseam_experiments/auditor.py
+++ b/src/crankseam_experiments/auditor.py
@@ -23,7 +23,7 @@
     "planned_stop_cuts_nothing",
     "config_in_force_never_reverts",
 )
-LEAVING_SECONDS = 2.0
+LEAVING_S = 2.0
 """A leaving back end gets no new work later than this after the first sign."""
 MAX_EXAMPLES = 5
 
@@ -198,7 +198,7 @@
     for window in evidence.leaving:
         entries = evidence.apps.get(window.target) or evidence.samplers.get(window.target, [])
         arrivals = [e["at"] for e in entries if "arrived" in e or "operation" in e]
-        late = [at for at in arrivals if window.begin + LEAVING_SECONDS < at < window.end]
+        late = [at for at in arrivals if window.begin + LEAVING_S < at < window.end]
         example = f"{window.target} got {len(late)} requests after it was leaving"
         finding.check(not late, example)
 
--- a/src/crankseam_experiments/experiment_run.py
+++ b/src/crankseam_experiments/experiment_run.py
@@ -27,7 +27,7 @@
 from crankseam_standins.account import read_account
 from crankseam_standins.trainer import TrainerPlan, TrainerStandin
 
-WATCH_SECONDS = 0.25
+WATCH_S = 0.25
 
 
 class ExperimentRun:
@@ -116,7 +116,7 @@
         while True:
             for name, address in self.fleet.node_addresses.items():
                 await self._watch_node(name, address)
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(WATCH_S)
 
     async def _watch_node(self, name: str, address: str) -> None:
         timeout = aiohttp.ClientTimeout(total=0.5)
--- a/src/crankseam_experiments/fault_injection.py
+++ b/src/crankseam_experiments/fault_injection.py
@@ -15,9 +15,9 @@
 from crankseam_experiments.auditor import Window
 from crankseam_experiments.experiment_run import ExperimentRun
 
-RECOVERY_TIMEOUT_SECONDS = 40.0
-LEAVE_SECONDS = 5.0
-LONG_CUT_SECONDS = 9.0
+RECOVERY_TIMEOUT_S = 40.0
+LEAVE_S = 5.0
+LONG_CUT_S = 9.0
 
 
 class FaultInjector:
@@ -105,12 +105,12 @@
         """Measure how long a started node takes until it takes work."""
         started = time.monotonic()
         address = self._fleet.node_addresses[name]
-        while time.monotonic() - started < RECOVERY_TIMEOUT_SECONDS:
+        while time.monotonic() - started < RECOVERY_TIMEOUT_S:
             if await self._fleet.is_ready(address):
                 self.recovery_seconds.append(time.monotonic() - started)
                 return
             await asyncio.sleep(0.1)
-        self.recovery_seconds.append(RECOVERY_TIMEOUT_SECONDS)
+        self.recovery_seconds.append(RECOVERY_TIMEOUT_S)
 
     # --- nodes
 
@@ -250,7 +250,7 @@
         client = KeyValueClient([self._run.spec.platform.key_value])
         await self._change_limit(client, 0)
         await client.close()
-        await asyncio.sleep(LONG_CUT_SECONDS)
+        await asyncio.sleep(LONG_CUT_S)
         for source, target in pairs:
             links.set_cut(source, target, False)
 
@@ -283,7 +283,7 @@
         address = self._address(name)
         await self._fleet.order_fault(address, leaving=True)
         begin = time.time()
-        await asyncio.sleep(LEAVE_SECONDS)
+        await asyncio.sleep(LEAVE_S)
         self._run.evidence.leaving.append(Window(name, begin, time.time()))
         await self._fleet.order_fault(address, leaving=False)
         self._busy.discard(name)
--- a/src/crankseam_experiments/fleet.py
+++ b/src/crankseam_experiments/fleet.py
@@ -22,7 +22,7 @@
 CALLER_PORT = 7080
 PEER_PORT = 7081
 PROXY_PORT = 7082
-READY_TIMEOUT_SECONDS = 40.0
+READY_TIMEOUT_S = 40.0
 
 
 class Fleet:
@@ -158,7 +158,7 @@
 
     async def wait_until_ready(self) -> None:
         """Until every node takes new work."""
-        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             for address in self.node_addresses.values():
                 while not await self.is_ready(address):
                     await asyncio.sleep(0.05)
--- a/src/crankseam_experiments/processes.py
+++ b/src/crankseam_experiments/processes.py
@@ -10,9 +10,9 @@
 
 import aiohttp
 
-START_TIMEOUT_SECONDS = 30.0
-STOP_TIMEOUT_SECONDS = 15.0
-POLL_SECONDS = 0.05
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 15.0
+POLL_S = 0.05
 
 
 class ProcessFailed(Exception):
@@ -44,7 +44,7 @@
     async def wait_until_up(self, session: aiohttp.ClientSession) -> None:
         """Wait until its health URL answers 200."""
         assert self.health_url is not None and self.process is not None
-        async with asyncio.timeout(START_TIMEOUT_SECONDS):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 if self.process.returncode is not None:
                     raise ProcessFailed(f"{self.name} ended with {self.process.returncode}")
@@ -54,7 +54,7 @@
                             return
                 except aiohttp.ClientError:
                     pass
-                await asyncio.sleep(POLL_SECONDS)
+                await asyncio.sleep(POLL_S)
 
     def is_running(self) -> bool:
         """Whether it was started and has not ended."""
@@ -76,7 +76,7 @@
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 return await self.wait()
         except TimeoutError:
             await self.kill()
--- a/src/crankseam_experiments/runner.py
+++ b/src/crankseam_experiments/runner.py
@@ -20,8 +20,8 @@
 from crankseam_experiments.weakened_node import WEAKENINGS
 
 CONTROL_FAULTS = 6
-CONTROL_IN_FORCE_SECONDS = 5.0
-LOAD_TIMEOUT_SECONDS = 400.0
+CONTROL_IN_FORCE_S = 5.0
+LOAD_TIMEOUT_S = 400.0
 
 
 async def run_load(run: ExperimentRun) -> None:
@@ -33,7 +33,7 @@
     injector = FaultInjector(run)
     faults = asyncio.create_task(injector.run())
     try:
-        async with asyncio.timeout(LOAD_TIMEOUT_SECONDS):
+        async with asyncio.timeout(LOAD_TIMEOUT_S):
             await asyncio.gather(*(_wait_for_client(run, n, injector) for n in run.clients))
             await faults
     finally:
@@ -65,7 +65,7 @@
         update={
             "kinds": list(weakening.faults),
             "count": CONTROL_FAULTS,
-            "in_force_seconds": CONTROL_IN_FORCE_SECONDS,
+            "in_force_seconds": CONTROL_IN_FORCE_S,
         }
     )
     update: dict[str, Any] = {"faults": faults}
--- a/src/crankseam_standins/caller.py
+++ b/src/crankseam_standins/caller.py
@@ -16,7 +16,7 @@
 from crankseam_standins.app import expected_answer
 
 MAX_ATTEMPTS = 6
-MAX_WAIT_SECONDS = 3.0
+MAX_WAIT_S = 3.0
 
 
 @dataclass(frozen=True)
@@ -75,7 +75,7 @@
             # the same key: that is what the key is for.
             if outcome in ("answered", "wrong_answer", "expired"):
                 break
-            await asyncio.sleep(min(MAX_WAIT_SECONDS, wait))
+            await asyncio.sleep(min(MAX_WAIT_S, wait))
         self.report.outcomes[outcome] = self.report.outcomes.get(outcome, 0) + 1
         self.report.latencies.append(time.monotonic() - started)
         self._account.append(
--- a/src/crankseam_standins/key_value.py
+++ b/src/crankseam_standins/key_value.py
@@ -14,7 +14,7 @@
 
 from crankseam_standins.faults import FaultOrder, Faults, lose_answer
 
-LEASE_SWEEP_SECONDS = 0.05
+LEASE_SWEEP_S = 0.05
 
 
 @dataclass
@@ -74,7 +74,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_SWEEP_SECONDS)
+            await asyncio.sleep(LEASE_SWEEP_S)
             now = time.monotonic()
             for identifier, lease in list(self._leases.items()):
                 if lease.expires < now:
--- a/src/crankseam_standins/trainer.py
+++ b/src/crankseam_standins/trainer.py
@@ -23,8 +23,8 @@
 from crankseam_standins.sampler_parameters import SamplerParameters
 
 FIRST_VERSION = 1
-RETRY_SECONDS = 0.2
-STREAM_SILENCE_SECONDS = 30.0
+RETRY_S = 0.2
+STREAM_SILENCE_S = 30.0
 
 
 @dataclass(frozen=True)
@@ -143,7 +143,7 @@
                         return
             except aiohttp.ClientError:
                 pass
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_S)
 
     # --- one step
 
@@ -191,7 +191,7 @@
                 self.report.reconnects += 1
                 if node == self._node:
                     self._node = next(self._nodes)
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_S)
         await self._acknowledge(step, received)
         self.report.step_seconds.append(time.monotonic() - started)
 
@@ -203,7 +203,7 @@
         base = f"http://{node}/trainers/{self._plan.name}/steps"
         query = {"version": str(version), "after": format_cursor(received)}
         opening = OpenStep(step, self._opened_at[step], samples)
-        timeout = aiohttp.ClientTimeout(total=None, sock_read=STREAM_SILENCE_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=None, sock_read=STREAM_SILENCE_S)
         try:
             body = msgspec.json.encode(opening)
             async with self._session.post(base, params=query, data=body, timeout=timeout) as answer:
