--- a/src/crankseam_experiments/report.py
+++ b/src/crankseam_experiments/report.py
@@ -76,11 +76,6 @@
     evidence = run.collect_evidence()
     findings = audit(evidence)
     summary = _summarise(run, findings, evidence)
-    trainer = run.client_report("trainer")
-    caller = run.client_report("caller")
-    latencies = caller.get("latencies", [])
-    total = trainer.get("idle", 0.0) + trainer.get("training", 0.0)
-    completed = summary["lost"] == 0 and all(run.clients_done.get(name) for name in run.clients)
     return {
         "name": run.spec.name,
         "seed": run.seed,
@@ -88,31 +83,58 @@
         "summary": summary,
         "promises": [dataclasses.asdict(finding) for finding in findings],
         "faults": run.injected,
-        "recovery_seconds": {
-            "count": len(run.recovery_seconds),
-            "median": statistics.median(run.recovery_seconds) if run.recovery_seconds else None,
-            "max": max(run.recovery_seconds, default=None),
-        },
+        "recovery_seconds": _recoveries(run.recovery_seconds),
+        **_app_figures(run.client_report("caller")),
+        **_trainer_figures(run.client_report("trainer")),
+        "staleness_seconds": _spread(_staleness_seconds(evidence)),
+        "tokens": run.sampler_totals,
+        "control": run.control,
+        "node_exit_codes": codes,
+        "clients_done": run.clients_done,
+        "passed": _passed(run, summary, codes),
+    }
+
+
+def _recoveries(seconds: list[float]) -> dict[str, float | None]:
+    return {
+        "count": len(seconds),
+        "median": statistics.median(seconds) if seconds else None,
+        "max": max(seconds, default=None),
+    }
+
+
+def _app_figures(caller: dict[str, Any]) -> dict[str, Any]:
+    latencies = caller.get("latencies", [])
+    return {
         "outcomes": caller.get("outcomes", {}),
         "app_latency_ms": {
             "p50": _percentile(latencies, 0.5) * 1000,
             "p99": _percentile(latencies, 0.99) * 1000,
         },
+    }
+
+
+def _trainer_figures(trainer: dict[str, Any]) -> dict[str, Any]:
+    total = trainer.get("idle", 0.0) + trainer.get("training", 0.0)
+    step_seconds = trainer.get("step_seconds", [])
+    return {
         "trainer_idle_fraction": trainer.get("idle", 0.0) / total if total else None,
         "trainer_idle_fraction_running": _running_idle(trainer),
         "staleness_versions": _spread(trainer.get("staleness", [])),
-        "staleness_seconds": _spread(_staleness_seconds(evidence)),
-        "tokens": run.sampler_totals,
         "step_seconds": {
-            "p50": _percentile(trainer.get("step_seconds", []), 0.5),
-            "p99": _percentile(trainer.get("step_seconds", []), 0.99),
+            "p50": _percentile(step_seconds, 0.5),
+            "p99": _percentile(step_seconds, 0.99),
         },
         "trainer_reconnects": trainer.get("reconnects"),
-        "control": run.control,
-        "node_exit_codes": codes,
-        "clients_done": run.clients_done,
-        "passed": completed
+    }
+
+
+def _passed(run: ExperimentRun, summary: dict[str, Any], codes: dict[str, int]) -> bool:
+    """Whether all samples came once, no promise was broken and every process ended well."""
+    completed = summary["lost"] == 0 and all(run.clients_done.get(name) for name in run.clients)
+    return (
+        completed
         and summary["violations"] == 0
         and summary["duplicates"] == 0
-        and all(code == 0 for code in codes.values()),
-    }
+        and all(code == 0 for code in codes.values())
+    )
