--- a/src/crankseam/clients/load_report.py
+++ b/src/crankseam/clients/load_report.py
@@ -12,6 +12,7 @@
 VERSION = "weight_version"
 LEAVING = "leaving"
 NO_VERSION = -1
+"""Stands for the weight version of a back end that has none; on the wire between nodes too."""
 
 
 @dataclass(frozen=True)
--- a/src/crankseam/controllers/back_end_watch.py
+++ b/src/crankseam/controllers/back_end_watch.py
@@ -1,9 +1,21 @@
-"""Watches back ends: each by two nodes of its zone, whose reports travel in the digest."""
+"""Who watches a back end, and when is what it saw told to others?
+
+Inputs: the living members of the back end's zone by rank (as old as the last heartbeat), the load
+report read from the back end each `timing.watch_interval`, and the report that was told last; times
+in seconds of the steady clock.
+Rule: the first `WATCHERS_PER_BACK_END` members by rank watch, of the region where the zone has
+none. Life, leaving flag and version are told at once by each; a load by the first watcher alone,
+when it moved by `LOAD_STEP` and `LOAD_RATIO` and `MIN_LOAD_S` have passed; the unchanged after a
+while. A back end that did not answer `FAILURES_UNTIL_DEAD` times is told dead and keeps its leaving
+flag.
+Protects: the digest's traffic, which grows with reports and not with requests.
+Shown by: `crankseam status`. Held by: tests/controllers/test_back_end_watch.py,
+tests/requests/test_app_requests.py.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import time
 from dataclasses import dataclass
 
@@ -11,28 +23,31 @@
 import msgspec
 
 from crankseam import clocks
-from crankseam.clients.load_report import LoadReport, fetch_load_report
+from crankseam.clients.load_report import NO_VERSION, LoadReport, fetch_load_report
 from crankseam.cluster.agent import ClusterAgent
 from crankseam.config.kinds import BackEnd
 from crankseam.config.snapshot import Snapshot
 from crankseam.peers.messages import BackEndReport
 from crankseam.records.slots import ranked
 
-log = logging.getLogger(__name__)
-
 WATCHERS_PER_BACK_END = 2
-RENEW_SECONDS = 8.0
-"""An unchanged report is sent again this often, so that others know it is not stale."""
-
-SECOND_RENEW_SECONDS = 15.0
-MIN_LOAD_SECONDS = 2.0
-"""A load alone is reported at most this often; what a node sent since then it adds itself."""
-
+"""One may die; the other has looked within a watch interval. Origin not recorded."""
+RENEW_S = 8.0
+"""The first watcher sends an unchanged report again after this, so that others know it is not
+stale. Under a third of the time for which reports are kept. Origin not recorded."""
+SECOND_RENEW_S = 15.0
+"""As `RENEW_S`, of the second watcher; set with the change that only one sends loads (1ed9291)."""
+MIN_LOAD_S = 2.0
+"""A load alone is reported at most this often; what a node sent since then it adds itself. Set with
+the tree of the digest, to hold its traffic at 420 nodes (a5ffcee)."""
 LOAD_STEP = 4
+"""Requests by which a load must at least have moved to be reported again. Origin not recorded."""
 LOAD_RATIO = 0.2
-"""A load is reported again once it moved by more than both of these."""
-
+"""Share of the load before by which it must have moved too. Origin not recorded."""
 FAILURES_UNTIL_DEAD = 2
+"""Readings in a row without an answer; one may be lost. Origin not recorded."""
+SHORTEST_PAUSE_S = 0.05
+"""Between two readings of one back end, however slow it answers. Origin not recorded."""
 
 
 @dataclass(frozen=True)
@@ -57,6 +72,19 @@
     return targets
 
 
+def is_news(old: BackEndReport, new: BackEndReport, age_s: float, is_first_watcher: bool) -> bool:
+    """Whether `new` is told to others, `age_s` seconds after `old` was."""
+    if age_s > (RENEW_S if is_first_watcher else SECOND_RENEW_S):
+        return True
+    if (old.alive, old.leaving, old.version) != (new.alive, new.leaving, new.version):
+        return True
+    if age_s < MIN_LOAD_S or not is_first_watcher:
+        return False
+    before = old.running + old.waiting
+    moved = abs(new.running + new.waiting - before)
+    return moved >= LOAD_STEP and moved > before * LOAD_RATIO
+
+
 class BackEndWatchController:
     """Polls the back ends that fall to this node, one task each."""
 
@@ -84,8 +112,8 @@
         renewed = []
         for note in notes:
             old = previous.get(note.target)
-            age = (note.sequence - old.sequence) / 1000 if old else RENEW_SECONDS
-            if old is not None and old.set_aside == note.set_aside and age < RENEW_SECONDS:
+            age = (note.sequence - old.sequence) / 1000 if old else RENEW_S
+            if old is not None and old.set_aside == note.set_aside and age < RENEW_S:
                 renewed.append(old)
                 continue
             renewed.append(note)
@@ -142,13 +170,15 @@
             if load is not None or failures >= FAILURES_UNTIL_DEAD:
                 self._report(target, load)
             elapsed = time.monotonic() - started
-            await asyncio.sleep(max(0.05, self._interval - elapsed))
+            await asyncio.sleep(max(SHORTEST_PAUSE_S, self._interval - elapsed))
 
     def _report(self, target: Target, load: LoadReport | None) -> None:
         previous = self._reports.get(target.name)
         report = self._build(target, load)
-        if previous is not None and not self._is_news(previous, report):
-            return
+        if previous is not None:
+            age_s = time.monotonic() - self._sent_at[target.name]
+            if not is_news(previous, report, age_s, self._is_first_watcher(target.name)):
+                return
         self._sequence = max(self._sequence + 1, clocks.wall_ms())
         report = msgspec.structs.replace(report, sequence=self._sequence)
         self._reports[target.name] = report
@@ -169,18 +199,6 @@
             leaving=load.leaving if load else was_leaving,
             running=load.running if load else 0,
             waiting=load.waiting if load else 0,
-            version=load.version if load else -1,
+            version=load.version if load else NO_VERSION,
             zone=self._agent.settings.zone,
         )
-
-    def _is_news(self, old: BackEndReport, new: BackEndReport) -> bool:
-        age = time.monotonic() - self._sent_at[new.target]
-        if age > (RENEW_SECONDS if self._is_first_watcher(new.target) else SECOND_RENEW_SECONDS):
-            return True
-        if (old.alive, old.leaving, old.version) != (new.alive, new.leaving, new.version):
-            return True
-        if age < MIN_LOAD_SECONDS or not self._is_first_watcher(new.target):
-            return False
-        before = old.running + old.waiting
-        moved = abs(new.running + new.waiting - before)
-        return moved >= LOAD_STEP and moved > before * LOAD_RATIO
--- a/src/crankseam/controllers/configuration_follower.py
+++ b/src/crankseam/controllers/configuration_follower.py
@@ -1,4 +1,9 @@
-"""Carries accepted revisions from the key-value service into the region's register."""
+"""Takes accepted revisions from the key-value service into the region's register.
+
+Owns the parts of the last revision, so that only changed ones are read. Relies on `zone_order` for
+which node does it: the first of the region. An outage of the service delays new revisions and
+changes nothing else.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +20,16 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_POLL_SECONDS = 1.0
-REREAD_SECONDS = 15.0
-"""The pointer is read again this often, in case a watch went silent."""
+IDLE_POLL_S = 1.0
+"""How often a node that does not have the duty looks whether it has. One heartbeat."""
+REREAD_S = 15.0
+"""The pointer is read again this often, in case a watch went silent. Origin not recorded."""
+RETRY_BASE_S = 0.3
+"""Upper bound of the first pause after a failed call. Origin not recorded."""
+RETRY_CAP_S = 5.0
+"""Upper bound of any pause after a failed call. Origin not recorded."""
+SHORTEST_RETRY_S = 0.1
+"""Added to each pause, so that no two calls follow each other at once. Origin not recorded."""
 
 
 class MissingPart(CrankseamError):
@@ -34,31 +46,31 @@
         self._agent = agent
         self._parts: dict[str, bytes] = {}
         self._published = 0
-        self._backoff = Backoff(0.3, 5.0)
+        self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
             if not self._agent.membership.order.is_first_of_region():
-                await asyncio.sleep(IDLE_POLL_SECONDS)
+                await asyncio.sleep(IDLE_POLL_S)
                 continue
             try:
                 await self._follow()
             except (KeyValueError, RecordError, MissingPart) as error:
                 log.info("configuration not followed", extra={"error": type(error).__name__})
-                await asyncio.sleep(0.1 + self._backoff.next_delay())
+                await asyncio.sleep(SHORTEST_RETRY_S + self._backoff.next_delay())
 
     async def _follow(self) -> None:
         await self._read_pointer()
         self._backoff.reset()
         try:
-            async with asyncio.timeout(REREAD_SECONDS):
+            async with asyncio.timeout(REREAD_S):
                 async for change in self._agent.key_value.watch(POINTER_KEY):
                     await self._publish(change.value)
         except TimeoutError:
-            pass
+            pass  # the pointer is due to be read again
         except KeyValueUnavailable:
-            await asyncio.sleep(0.1 + self._backoff.next_delay())
+            await asyncio.sleep(SHORTEST_RETRY_S + self._backoff.next_delay())
 
     async def _read_pointer(self) -> None:
         found = await self._agent.key_value.get(POINTER_KEY)
--- a/src/crankseam/controllers/duty.py
+++ b/src/crankseam/controllers/duty.py
@@ -1,4 +1,12 @@
-"""Duties that one node holds at a time, under a lease with a fencing token."""
+"""A duty that one node holds at a time, under a lease with a fencing token.
+
+Owns one key of the key-value service and the lease that it hangs on. Relies on that service alone:
+the duty is read and renewed by calls, three times a term, since nodes follow no keys.
+
+`coordination/duty` is its counterpart on the users' platform, and differs by intent: there a
+process has one lease for all it holds, learns of the holder by following the keys, leaves the duty
+to a former holder for a moment, and pauses between two holders; here a holder gives up a margin
+before its term instead. The keys differ too, so neither can hold the other's."""
 
 from __future__ import annotations
 
@@ -13,6 +21,17 @@
 
 log = logging.getLogger(__name__)
 
+SHORTEST_TERM_S = 1
+"""The key-value service grants whole seconds."""
+RENEWALS_PER_TERM = 3
+"""Two may fail before the duty is lost. Origin not recorded."""
+RETRY_BASE_S = 0.5
+"""Upper bound of the first pause after a failed call. Origin not recorded."""
+RETRY_CAP_S = 10.0
+"""Upper bound of any pause, cut to one term. Origin not recorded."""
+SHORTEST_RETRY_S = 0.1
+"""Added to each pause, so that no two calls follow each other at once. Origin not recorded."""
+
 
 class Duty:
     """Competes for one duty and knows whether this node holds it now.
@@ -34,12 +53,12 @@
         self.name = name
         self._key = f"{DUTY_PREFIX}{name}"
         self._holder = holder
-        self._term = max(1, round(term))
+        self._term = max(SHORTEST_TERM_S, round(term))
         self._margin = margin
         self._lease = 0
         self._held_until = 0.0
         self.fence = 0
-        self._backoff = Backoff(0.5, 10.0)
+        self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
 
     def is_held(self) -> bool:
         """Whether this node may act now. Ask again directly before each act."""
@@ -51,9 +70,9 @@
             try:
                 await self._step()
                 self._backoff.reset()
-                await asyncio.sleep(self._term / 3)
+                await asyncio.sleep(self._term / RENEWALS_PER_TERM)
             except KeyValueError:
-                await asyncio.sleep(min(self._backoff.next_delay() + 0.1, self._term))
+                await asyncio.sleep(min(self._backoff.next_delay() + SHORTEST_RETRY_S, self._term))
 
     async def _step(self) -> None:
         if self._lease and await self._renew():
--- a/src/crankseam/controllers/founding.py
+++ b/src/crankseam/controllers/founding.py
@@ -1,13 +1,22 @@
-"""Founds a region's replica sets, and founds a slot anew when a majority of it is gone for good.
-
-A slot whose majority is gone has lost its records. Its new set refuses ids dated before the loss
-(the floor), so that no request that may have run is run again.
+"""When are a slot's first replicas chosen, and when is a slot given up and founded anew?
+
+Inputs: the replica sets and the members' incarnations known here (as old as the last heartbeat),
+the founding record of the region in the key-value service, and the tables of all living members,
+asked for before anything is founded anew.
+Rule: a region without a founding record gets one; a slot of which a majority has certainly ended,
+each member followed by a later run, is founded anew at a far higher epoch. Silence never counts,
+since a member that is paused or cut off could still vote.
+Protects: a slot whose majority is gone has lost its records; its new set refuses ids dated before
+the loss (the floor), so that no request that may have run is run again.
+Shown by: `replica sets founded`, `founding with few nodes`. Held by:
+tests/controllers/test_founding.py, tests/cluster/test_membership.py.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from collections.abc import Callable
 
 import msgspec
 
@@ -22,13 +31,19 @@
 
 log = logging.getLogger(__name__)
 
-POLL_SECONDS = 1.0
-FOUNDING_PATIENCE_SECONDS = 3.0
+POLL_S = 1.0
+"""Between two looks at the slots; one heartbeat. Origin not recorded."""
+FIRST_LOOK_HEARTBEATS = 3.0
+"""Heartbeats after which a new node looks for the first time: it has heard of the others by then.
+Origin not recorded."""
 REFOUNDED_EPOCH_STEP = 1000
 """Far above any epoch that the lost set may have reached unseen."""
-
-FLOOR_MARGIN_MILLISECONDS = 5_000
-"""Ids may be dated by clocks that run ahead by this much."""
+FLOOR_MARGIN_MS = 5_000
+"""Ids may be dated by clocks that run ahead by this much. Origin not recorded."""
+RETRY_BASE_S = 0.5
+"""Upper bound of the first pause, beside `POLL_S`, after a failed call. Origin not recorded."""
+RETRY_CAP_S = 10.0
+"""Upper bound of any such pause. Origin not recorded."""
 
 
 class FoundingRecord(msgspec.Struct):
@@ -38,25 +53,43 @@
     sets: list[ReplicaSet]
 
 
+def is_lost(replica_set: ReplicaSet, newest_incarnation: Callable[[str], int | None]) -> bool:
+    """Whether a majority of the set has certainly ended: each was followed by a later run.
+
+    Parameters
+    ==========
+
+    newest_incarnation : of a node by its name; None of one that is not known.
+    """
+
+    def has_ended(identity: str) -> bool:
+        name, _, incarnation = identity.rpartition("@")
+        newest = newest_incarnation(name)
+        return newest is not None and newest > int(incarnation)
+
+    ended = sum(has_ended(identity) for identity in replica_set.members)
+    return ended > len(replica_set.members) - majority(replica_set)
+
+
 class FoundingController:
     """Sees to it that every slot of the region has a replica set with a living majority."""
 
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
         self._key = f"{FOUNDING_PREFIX}{agent.settings.region}"
-        self._patience = agent.settings.timing.heartbeat_interval * FOUNDING_PATIENCE_SECONDS
-        self._backoff = Backoff(0.5, 10.0)
+        self._first_look_s = agent.settings.timing.heartbeat_interval * FIRST_LOOK_HEARTBEATS
+        self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
 
     async def run(self) -> None:
         """Reconcile until cancelled."""
-        await asyncio.sleep(self._patience)
+        await asyncio.sleep(self._first_look_s)
         while True:
             try:
                 await self._reconcile()
                 self._backoff.reset()
-                await asyncio.sleep(POLL_SECONDS)
+                await asyncio.sleep(POLL_S)
             except KeyValueError:
-                await asyncio.sleep(POLL_SECONDS + self._backoff.next_delay())
+                await asyncio.sleep(POLL_S + self._backoff.next_delay())
 
     async def _reconcile(self) -> None:
         unfounded = self._unfounded_slots()
@@ -103,28 +136,19 @@
         return [s for s in range(self._agent.settings.record_slots) if known.get(s) is None]
 
     def _lost_slots(self) -> list[ReplicaSet]:
-        return [s for s in self._agent.digest.slots.all() if self._is_lost(s)]
+        sets = self._agent.digest.slots.all()
+        return [each for each in sets if is_lost(each, self._newest_incarnation)]
 
-    def _is_lost(self, replica_set: ReplicaSet) -> bool:
-        """A majority of the set has certainly ended: each was followed by a later run.
-
-        A member that is merely silent may be paused or cut off and could still vote, so silence
-        never counts.
-        """
-        ended = sum(self._has_ended(identity) for identity in replica_set.members)
-        return ended > len(replica_set.members) - majority(replica_set)
-
-    def _has_ended(self, identity: str) -> bool:
-        name, _, incarnation = identity.rpartition("@")
+    def _newest_incarnation(self, name: str) -> int | None:
         member = self._agent.digest.member(name)
-        return member is not None and member.incarnation > int(incarnation)
+        return member.incarnation if member is not None else None
 
     async def _found(self, record: FoundingRecord, revision: int, lost: list[ReplicaSet]) -> None:
         candidates = self._agent.digest.alive_in_region(self._agent.settings.region)
         if not record.sets and len(candidates) < REPLICAS_PER_SLOT:
             log.info("founding with few nodes", extra={"nodes": len(candidates)})
         sets = {replica_set.slot: replica_set for replica_set in record.sets}
-        floor = clocks.wall_ms() + FLOOR_MARGIN_MILLISECONDS if record.sets else 0
+        floor = clocks.wall_ms() + FLOOR_MARGIN_MS if record.sets else 0
         lost_epochs = {replica_set.slot: replica_set.epoch for replica_set in lost}
         for slot in range(self._agent.settings.record_slots):
             if slot in sets and slot not in lost_epochs:
--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -1,8 +1,18 @@
-"""One limit shared by many nodes: each holds a leased share and asks for more ahead of need.
-
-The shares of a limit stand in one replicated record. A node uses its share for one term after it
-last renewed it; any node may take back a share that was not renewed for longer than that. So the
-sum of the shares in use never passes the limit, also while nodes are cut off from each other.
+"""How many requests of a limited service or pool may this node have in flight?
+
+Inputs: the agreed table of all nodes' shares (one replicated record a limit, as old as this node's
+last renewal), the requests in flight here, and whether a node was refused one for want of a share.
+Times are seconds of the clock of promises.
+Rule: at each renewal a node asks for what it has in flight and some headroom, and gets it as far as
+the shares of the others leave room; it uses its share for one term, less a margin, from when it
+asked. A share whose holder has not renewed it for a term and a margin may be taken by any node.
+While another node wants more, a node that does not keeps no headroom.
+Protects: the sum of the shares in use never passes the limit, also while nodes are cut off from
+each other.
+Shown by: the problem "limit ... is in use", `share not renewed`. Held by:
+tests/controllers/test_limit_shares.py, tests/test_clocks.py, tests/rollout/test_steps.py,
+tests/requests/test_app_requests.py. Term and margin are settings (`timing.limit_term`,
+`timing.clock_margin`).
 """
 
 from __future__ import annotations
@@ -10,6 +20,7 @@
 import asyncio
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -21,8 +32,11 @@
 log = logging.getLogger(__name__)
 
 RENEWALS_PER_TERM = 4
+"""Three may fail before a share runs out. Origin not recorded."""
 HEADROOM_FRACTION = 0.5
+"""Of the requests in flight, asked for beyond them ahead of need. Origin not recorded."""
 MIN_HEADROOM = 1
+"""Requests that an idle node may start without waiting for a renewal. Origin not recorded."""
 
 
 class Share(msgspec.Struct, array_like=True):
@@ -40,12 +54,30 @@
     shares: dict[str, Share] = {}
 
 
+def wanted_amount(in_flight: int, wants_more: bool, others_want_more: bool) -> int:
+    """How large a share to ask for."""
+    headroom = max(MIN_HEADROOM, round(in_flight * HEADROOM_FRACTION))
+    if wants_more:
+        return in_flight + headroom * 2
+    return in_flight if others_want_more else in_flight + headroom
+
+
+@dataclass(frozen=True)
+class SeenShare:
+    """The newest renewal that was seen of another node's share, and since when."""
+
+    sequence: int
+    since: float
+
+
 class LimitShare:
     """This node's share of one limit.
 
-    Args:
-        term: seconds for which a renewed share may be used.
-        margin: seconds by which the holder stops earlier, and a reclaimer waits longer.
+    Parameters
+    ==========
+
+    term : seconds for which a renewed share may be used.
+    margin : seconds by which the holder stops earlier, and a reclaimer waits longer.
     """
 
     def __init__(
@@ -65,7 +97,7 @@
         self._amount = 0
         self._valid_until = 0.0
         self._sequence = 0
-        self._seen: dict[str, tuple[int, float]] = {}
+        self._seen: dict[str, SeenShare] = {}
         self.wants_more = False
 
     def amount(self) -> int:
@@ -89,29 +121,23 @@
         others = {h: s for h, s in table.shares.items() if h != self.holder}
         living = {h: s for h, s in others.items() if not self._has_lapsed(h, s)}
         taken = sum(share.amount for share in living.values())
-        wish = self._wish(any(share.wants_more for share in living.values()))
-        amount = max(0, min(wish, self.total - taken))
-        own = Share(amount, self._sequence + 1, self.wants_more and amount < wish)
+        others_want_more = any(share.wants_more for share in living.values())
+        wanted = wanted_amount(self.used, self.wants_more, others_want_more)
+        amount = max(0, min(wanted, self.total - taken))
+        own = Share(amount, self._sequence + 1, self.wants_more and amount < wanted)
         return ShareTable({**living, self.holder: own})
 
-    def _wish(self, others_want: bool) -> int:
-        headroom = max(MIN_HEADROOM, round(self.used * HEADROOM_FRACTION))
-        if self.wants_more:
-            return self.used + headroom * 2
-        return self.used if others_want else self.used + headroom
-
     def _has_lapsed(self, holder: str, share: Share) -> bool:
         now = self._clock()
-        sequence, since = self._seen.get(holder, (-1, now))
-        if sequence != share.sequence:
-            self._seen[holder] = (share.sequence, now)
+        seen = self._seen.get(holder)
+        if seen is None or seen.sequence != share.sequence:
+            self._seen[holder] = SeenShare(share.sequence, now)
             return False
-        return now - since > self._term + self._margin
+        return now - seen.since > self._term + self._margin
 
-    def prepare_renewal(self, wish_at_most: int | None = None) -> None:
-        """Lower the usable amount before a renewal that may shrink it."""
-        if wish_at_most is not None:
-            self._amount = min(self._amount, wish_at_most)
+    def prepare_renewal(self, amount: int) -> None:
+        """Use no more than `amount` from now on: the renewal that is sent may be agreed on."""
+        self._amount = min(self._amount, amount)
 
     def confirm(self, table: ShareTable, asked_at: float) -> None:
         """Take the agreed table; the share's term counts from when the renewal was asked for."""
--- a/src/crankseam/controllers/machines.py
+++ b/src/crankseam/controllers/machines.py
@@ -1,4 +1,8 @@
-"""Follows the platform's machine list: leaving machines leave routing."""
+"""Follows the platform's machine list: leaving machines leave routing.
+
+Owns which hosts the router is told are leaving. Relies on the list, which lags and may be down: an
+empty answer changes nothing.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/controllers/replica_placement.py
+++ b/src/crankseam/controllers/replica_placement.py
@@ -1,4 +1,17 @@
-"""Keeps each slot's replicas on living nodes in distinct zones, moving few at a time."""
+"""When is a slot's replica set moved, and by which of its members?
+
+Inputs: the living members of the region and their ranks (as old as the last heartbeat; `slots`
+names the best set), the sets of which this node is a replica, and since when each was not the best;
+seconds of the steady clock.
+Rule: a set that has not been the best one for `timing.replica_move_delay` is moved by its living
+replica of lowest rank, after each further delay by the next one; a leaving node moves its own at
+once. A node makes one move at a time, and completes moves that were left half done.
+Protects: each slot keeps replicas on living nodes in distinct zones, with no more traffic of moving
+than one slot a node.
+Shown by: `slot moved`, `slot not moved`, `slot_moves`. Held by:
+tests/controllers/test_replica_placement.py, tests/cluster/test_membership.py,
+tests/test_node_machine.py.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +29,27 @@
 
 log = logging.getLogger(__name__)
 
-POLL_FRACTION = 0.25
+LOOKS_PER_DELAY = 4
+"""Looks at the slots in one `timing.replica_move_delay`. Origin not recorded."""
 FINISH_DELAY_FACTOR = 2.0
+"""Delays after which a sealed set is taken for a move that its maker left half done. Origin not
+recorded."""
 
 
-class ReplicaPlacementController:
-    """Moves slots of which this node is a replica.
+def move_patience(delay: float, position: int, is_leaving: bool) -> float:
+    """Seconds for which a set must not have been the best one before this node moves it.
+
+    Parameters
+    ==========
 
-    Only the living replica of lowest rank starts a move; if it does not, the next one does after
-    a further delay. One move runs at a time on a node, which throttles the traffic of moving.
+    delay : `timing.replica_move_delay` in seconds.
+    position : how many living replicas of the set come before this node by rank.
     """
+    return 0.0 if is_leaving else delay * (1 + position)
+
+
+class ReplicaPlacementController:
+    """Moves slots of which this node is a replica."""
 
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
@@ -34,14 +58,14 @@
         self._unfit_since: dict[int, float] = {}
         self._sealed_since: dict[int, float] = {}
         self._random = random.Random(agent.identity)
-        self._wishes: dict[int, list[str]] = {}
-        self._wishes_for = -1
+        self._best: dict[int, list[str]] = {}
+        self._best_as_of = -1
         self.moves = 0
 
     async def run(self) -> None:
         """Reconcile until cancelled."""
         while True:
-            await asyncio.sleep(self._delay * POLL_FRACTION * self._random.uniform(0.8, 1.2))
+            await asyncio.sleep(self._delay / LOOKS_PER_DELAY * self._random.uniform(0.8, 1.2))
             await self.reconcile()
 
     async def reconcile(self) -> None:
@@ -62,26 +86,26 @@
             for slot in self._agent.replicas.slots.values()
         )
 
-    def _wish(self, replica_set: ReplicaSet) -> list[str]:
+    def _best_members(self, slot: int) -> list[str]:
+        """Identities of the best replicas; kept until the living members change."""
         version = self._agent.digest.alive_version
-        if version != self._wishes_for:
-            self._wishes_for = version
-            self._wishes = {}
-        if replica_set.slot not in self._wishes:
+        if version != self._best_as_of:
+            self._best_as_of = version
+            self._best = {}
+        if slot not in self._best:
             region = self._agent.settings.region
             candidates = self._agent.digest.alive_in_region(region)
-            self._wishes[replica_set.slot] = desired_members(region, replica_set.slot, candidates)
-        return self._wishes[replica_set.slot]
+            self._best[slot] = desired_members(region, slot, candidates)
+        return self._best[slot]
 
     def _is_due(self, replica_set: ReplicaSet) -> bool:
-        wish = self._wish(replica_set)
-        if not wish or wish == sorted(replica_set.members):
+        best = self._best_members(replica_set.slot)
+        if not best or best == sorted(replica_set.members):
             self._unfit_since.pop(replica_set.slot, None)
             return False
         since = self._unfit_since.setdefault(replica_set.slot, time.monotonic())
-        patience = self._delay * (1 + self._position(replica_set))
-        if self._agent.is_leaving:
-            patience = 0.0
+        position = self._position(replica_set)
+        patience = move_patience(self._delay, position, self._agent.is_leaving)
         return time.monotonic() - since >= patience
 
     def _position(self, replica_set: ReplicaSet) -> int:
@@ -99,7 +123,7 @@
 
     async def _move(self, replica_set: ReplicaSet) -> None:
         try:
-            moved = await self._reconfigurer.move(replica_set, self._wish(replica_set))
+            moved = await self._reconfigurer.move(replica_set, self._best_members(replica_set.slot))
         except RecordError as error:
             # Tried again at the next tick; the delay counts from now.
             self._unfit_since[replica_set.slot] = time.monotonic()
@@ -128,7 +152,7 @@
                 continue
             try:
                 await self._reconfigurer.finish(old, agreed)
-            except RecordError:
+            except RecordError:  # tried again after the delay
                 self._sealed_since[old.slot] = time.monotonic()
                 continue
             self._agent.learn_replica_set(agreed)
--- a/src/crankseam/controllers/retention.py
+++ b/src/crankseam/controllers/retention.py
@@ -1,4 +1,7 @@
-"""Bounds memory: drops records that are older than the retention, and stale digest entries."""
+"""Bounds memory: drops records that are older than the retention, and stale digest entries.
+
+Owns the interval of the sweep. Relies on the replica store and the digest to drop what it names,
+and on the file of known peers, which it renews on the way."""
 
 from __future__ import annotations
 
@@ -6,9 +9,13 @@
 
 from crankseam import clocks
 from crankseam.cluster.agent import ClusterAgent
+from crankseam.controllers.back_end_watch import all_targets
 
-SWEEP_SECONDS = 5.0
-REPORT_RETENTION_SECONDS = 30.0
+SWEEP_S = 5.0
+"""Between two sweeps. Origin not recorded."""
+REPORT_RETENTION_S = 30.0
+"""Reports of back ends are dropped after this: twice the longest time between two sendings of an
+unchanged one (`back_end_watch.SECOND_RENEW_S`)."""
 
 
 class RetentionController:
@@ -20,22 +27,14 @@
     async def run(self) -> None:
         """Sweep until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(SWEEP_S)
             self.sweep()
 
     def sweep(self) -> None:
         """Drop what is too old."""
-        retention = round(self._agent.settings.timing.record_retention * 1000)
-        self._agent.replicas.forget_before(clocks.wall_ms() - retention)
-        self._agent.digest.purge(self._known_targets(), REPORT_RETENTION_SECONDS)
+        retention_ms = round(self._agent.settings.timing.record_retention * 1000)
+        self._agent.replicas.forget_before(clocks.wall_ms() - retention_ms)
+        known = {target.name for target in all_targets(self._agent.lease.snapshot)}
+        self._agent.digest.purge(known, REPORT_RETENTION_S)
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
         self._agent.known_peers.save([member.peer_address for member in members])
-
-    def _known_targets(self) -> set[str]:
-        snapshot = self._agent.lease.snapshot
-        targets = set()
-        for service in snapshot.services.values():
-            targets |= {f"{service.name}/{back_end.name}" for back_end in service.back_ends}
-        for pool in snapshot.pools.values():
-            targets |= {f"{pool.name}/{sampler.name}" for sampler in pool.samplers}
-        return targets
--- a/src/crankseam/controllers/suspects.py
+++ b/src/crankseam/controllers/suspects.py
@@ -2,7 +2,8 @@
 
 Nodes do not follow the key-value service one by one: who changes a suspect writes it there and
 tells the others. A node reads them all when it starts, and now and then, in case a message was
-lost.
+lost. What is held back and how it is released is in `quarantine/`; on the users' platform the same
+parts follow the store instead of being told.
 """
 
 from __future__ import annotations
@@ -21,11 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-READ_SECONDS = 60.0
+READ_S = 60.0
 """Between two readings of all suspects: 420 nodes then make 7 calls a second together."""
-FIRST_READ_RETRY_SECONDS = 1.0
+READ_RETRY_S = 1.0
+"""After a reading that failed. Origin not recorded."""
 TOLD_AT_ONCE = 32
-"""Peers that are told at one time."""
+"""Peers that are told at one time. Origin not recorded."""
 
 
 class SuspectController:
@@ -61,9 +63,9 @@
             found = await self._agent.key_value.get_all(self.quarantine.prefix)
         except KeyValueError as error:
             log.info("suspects not read", extra={"error": type(error).__name__})
-            return FIRST_READ_RETRY_SECONDS
+            return READ_RETRY_S
         self.quarantine.take_all([as_entry(one) for one in found])
-        return READ_SECONDS * random.uniform(0.9, 1.1)
+        return READ_S * random.uniform(0.9, 1.1)
 
     async def _tell_all(self, raw: bytes) -> None:
         own = self._agent.settings.name
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -1,7 +1,13 @@
 """Weight coordinator of one pool: stages a version on all samplers ahead, then switches them.
 
-The coordinator holds a duty lease; its fencing token goes with every order, so that a coordinator
+Owns the orders to samplers and what is known of each for the version under way. Relies on
+`weight_rules` for when to order what, on the duty's lease for whether it may, and on the weight
+store for the newest version. The duty's fencing token goes with every order, so that a coordinator
 that was paused and wakes late is refused by the samplers.
+
+`orders/version_coordinator` does this on the users' platform, and differs by intent: there trainers
+name the versions, a sampler carries several models and stands still for one while it loads it, and
+a few load at a time so that little work is broken off. The two share no rule but the fence.
 """
 
 from __future__ import annotations
@@ -9,12 +15,11 @@
 import asyncio
 import logging
 import time
-from dataclasses import dataclass, field
 
 import aiohttp
 
 from crankseam import clocks
-from crankseam.backoff import Backoff
+from crankseam.clients.load_report import NO_VERSION
 from crankseam.clients.sampler import (
     OrderFailed,
     OrderRefused,
@@ -26,6 +31,7 @@
 from crankseam.config.kinds import BackEnd, SamplerPool, WeightPolicy
 from crankseam.controllers.back_end_watch import BackEndWatchController
 from crankseam.controllers.duty import Duty
+from crankseam.controllers.weight_rules import SamplerProgress, samplers_to_switch
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import CrankseamError
 from crankseam.peers.messages import BackEndReport
@@ -34,37 +40,13 @@
 
 log = logging.getLogger(__name__)
 
-POLICY_POLL_SECONDS = 0.5
+POLICY_POLL_S = 0.5
+"""How often policies are looked for that came or went. Origin not recorded."""
 COORDINATOR_CANDIDATES = 2
-LOOK_SECONDS = 2.0
-"""A sampler whose state is unknown is asked for it this often."""
-REPORT_LAG_SECONDS = 3.0
-"""Reports lag behind; one that came later than this after a switch must show it."""
-LOAD_BACKOFF_BASE = 0.2
-LOAD_BACKOFF_CAP = 3.0
-
-
-@dataclass
-class SamplerProgress:
-    """What this coordinator did with one sampler for the version under way."""
-
-    version: int
-    is_known: bool = False
-    """Whether its state was read, or follows from an order that it carried out."""
-    is_loaded: bool = False
-    is_serving: bool = False
-    looked_at: float = float("-inf")
-    switched_at: float = float("-inf")
-    failed_loads: int = 0
-    set_aside: str = ""
-    backoff: Backoff = field(default_factory=lambda: Backoff(LOAD_BACKOFF_BASE, LOAD_BACKOFF_CAP))
-    retry_at: float = 0.0
-
-    def forget_state(self) -> None:
-        """Have the sampler looked at again."""
-        self.is_known = False
-        self.is_loaded = False
-        self.is_serving = False
+"""Nodes that compete for a pool's duty: one may die, and the key-value service pays for no more.
+Origin not recorded."""
+SAMPLER_SILENCE_S = 5.0
+"""Silence after which a sampler's answer is given up. Origin not recorded."""
 
 
 class WeightCoordinator:
@@ -82,7 +64,7 @@
         self._policy_name = policy_name
         self._decisions = decisions
         self._watch = watch
-        self._sampler = SamplerClient(session, silence_timeout=5.0)
+        self._sampler = SamplerClient(session, silence_timeout=SAMPLER_SILENCE_S)
         self._store = WeightStoreClient(session)
         timing = agent.settings.timing
         self._duty = Duty(
@@ -156,16 +138,14 @@
         self._publish_set_aside(pool)
 
     def _notice_restart(self, pool: SamplerPool, sampler: BackEnd, version: int) -> None:
-        """A sampler that its watchers see at another version than it was switched to is looked at
-        again: it was started anew, or another coordinator ordered it."""
+        """Have a sampler looked at again that its watchers see at another version."""
         progress = self._progress_of(sampler.name, version)
         reports = self._agent.digest.reports_for(f"{pool.name}/{sampler.name}")
         seen = [item for item in reports if item[0].version >= 0]
         if not progress.is_serving or not seen:
             return
         report, age = min(seen, key=lambda item: item[1])
-        since_switch = time.monotonic() - progress.switched_at
-        if report.version != version and age < since_switch - REPORT_LAG_SECONDS:
+        if progress.is_contradicted(report.version, age, time.monotonic()):
             progress.forget_state()
 
     async def _look_at_unknown(self, samplers: list[BackEnd], version: int) -> None:
@@ -178,13 +158,13 @@
 
         async def look(sampler: BackEnd) -> None:
             progress = self._progress_of(sampler.name, version)
-            if progress.is_known or now - progress.looked_at < LOOK_SECONDS:
+            if not progress.is_look_due(now):
                 return
             progress.looked_at = now
             try:
                 state = await self._sampler.state(sampler.address)
             except SamplerError:
-                return
+                return  # looked at again when the next look is due
             progress.is_known = True
             progress.is_loaded = version in state.loaded
             progress.is_serving = state.serving == version
@@ -209,8 +189,7 @@
         now = time.monotonic()
 
         async def load(sampler: BackEnd) -> None:
-            progress = self._progress_of(sampler.name, version)
-            if not progress.is_known or progress.is_loaded or progress.retry_at > now:
+            if not self._progress_of(sampler.name, version).is_load_due(now):
                 return
             async with gate:
                 await self._load_one(policy, sampler, version)
@@ -250,9 +229,8 @@
     def _note_failed_load(
         self, policy: WeightPolicy, sampler: BackEnd, progress: SamplerProgress, error: OrderFailed
     ) -> None:
-        progress.failed_loads += 1
-        progress.retry_at = time.monotonic() + progress.backoff.next_delay()
-        if progress.failed_loads >= policy.load_attempts and not progress.set_aside:
+        progress.note_failed_load(time.monotonic())
+        if progress.is_set_aside_due(policy.load_attempts):
             version = progress.version
             progress.set_aside = f"{progress.failed_loads} loads of {version} failed: {error}"
             self._decide("set_aside", sampler, progress.set_aside)
@@ -274,15 +252,9 @@
 
     async def _switch(self, samplers: list[BackEnd], version: int) -> None:
         """Switch all at once, when each sampler that answers has the version or is set aside."""
-        progress = {item.name: self._progress_of(item.name, version) for item in samplers}
-        known = [item for item in samplers if progress[item.name].is_known]
-        behind = [item for item in known if not progress[item.name].is_serving]
-        for sampler in behind:
-            own = progress[sampler.name]
-            if not own.is_loaded and not own.set_aside:
-                return
-        ready = [item for item in behind if progress[item.name].is_loaded]
-        await asyncio.gather(*(self._switch_one(sampler, version) for sampler in ready))
+        by_name = {sampler.name: sampler for sampler in samplers}
+        ready = samplers_to_switch({name: self._progress_of(name, version) for name in by_name})
+        await asyncio.gather(*(self._switch_one(by_name[name], version) for name in ready))
 
     async def _switch_one(self, sampler: BackEnd, version: int) -> None:
         if not self._duty.is_held():
@@ -313,7 +285,7 @@
                     leaving=False,
                     running=0,
                     waiting=0,
-                    version=-1,
+                    version=NO_VERSION,
                     zone=self._agent.settings.zone,
                     set_aside=progress.set_aside,
                 )
@@ -349,7 +321,7 @@
             for name in wanted:
                 if name not in self._running:
                     self._start(name)
-            await asyncio.sleep(POLICY_POLL_SECONDS)
+            await asyncio.sleep(POLICY_POLL_S)
 
     def _start(self, name: str) -> None:
         coordinator = WeightCoordinator(
--- a/src/crankseam/records/reconfigurer.py
+++ b/src/crankseam/records/reconfigurer.py
@@ -72,9 +72,9 @@
         return serving >= majority(replica_set)
 
     async def _agree(self, current: ReplicaSet, members: list[str]) -> ReplicaSet:
-        wish = ReplicaSet(current.slot, current.epoch + 1, members, current.floor)
+        proposed = ReplicaSet(current.slot, current.epoch + 1, members, current.floor)
         where = RecordKey(current.slot, f"{NEXT_SET_KEY}/{current.epoch}", UNDATED)
-        encoded = msgspec.msgpack.encode(wish)
+        encoded = msgspec.msgpack.encode(proposed)
         value = await self._proposer.change(where, lambda standing: standing or encoded)
         assert value is not None
         agreed = msgspec.msgpack.decode(value, type=ReplicaSet)
--- /dev/null
+++ b/tests/controllers/test_limit_shares.py
@@ -0,0 +1,84 @@
+"""Shares of a limit: what a node asks for, and that the sum never passes the limit."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from crankseam.controllers.limit_shares import (
+    MIN_HEADROOM,
+    LimitShare,
+    ShareTable,
+    wanted_amount,
+)
+
+TERM = 5.0
+MARGIN = 0.5
+
+
+class Clock:
+    def __init__(self) -> None:
+        self.now = 100.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+def test_an_idle_node_asks_for_the_smallest_headroom():
+    assert wanted_amount(0, wants_more=False, others_want_more=False) == MIN_HEADROOM
+
+
+def test_a_node_that_was_refused_one_asks_for_twice_the_headroom():
+    assert wanted_amount(10, wants_more=False, others_want_more=False) == 15
+    assert wanted_amount(10, wants_more=True, others_want_more=True) == 20
+
+
+def test_while_another_wants_more_a_node_that_does_not_keeps_no_headroom():
+    assert wanted_amount(10, wants_more=False, others_want_more=True) == 10
+
+
+def renewed(share, table, asked_at):
+    table = share.renew_in(table)
+    share.prepare_renewal(table.shares[share.holder].amount)
+    share.confirm(table, asked_at)
+    return table
+
+
+def test_a_share_that_is_not_renewed_is_taken_back_a_margin_after_its_holder_stopped():
+    clock = Clock()
+    first, second = (LimitShare(name, 2, TERM, MARGIN, clock) for name in ("a", "b"))
+    first.used = 1
+    table = renewed(first, ShareTable(), clock.now)
+    assert first.amount() == 2
+    table = renewed(second, table, clock.now)
+    assert second.amount() == 0
+    clock.now += TERM + MARGIN
+    assert first.amount() == 0
+    assert renewed(second, table, clock.now).shares["b"].amount == 0
+    clock.now += 0.1
+    assert renewed(second, table, clock.now).shares["b"].amount == 1
+
+
+@given(
+    steps=st.lists(
+        st.tuples(
+            st.sampled_from(["renew", "start", "end"]),
+            st.integers(0, 2),
+            st.floats(0.0, 3.0),
+        ),
+        max_size=60,
+    )
+)
+def test_the_shares_in_use_never_pass_the_limit(steps):
+    """Nodes renew at any time and stop renewing at any time; each hears of its own renewals."""
+    clock, total = Clock(), 4
+    shares = [LimitShare(f"node-{n}", total, TERM, MARGIN, clock) for n in range(3)]
+    table = ShareTable()
+    for kind, index, pause in steps:
+        clock.now += pause
+        share = shares[index]
+        if kind == "start":
+            share.try_acquire()
+        elif kind == "end" and share.used:
+            share.release()
+        elif kind == "renew":
+            table = renewed(share, table, clock.now)
+        assert sum(each.amount() for each in shares) <= total
