--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -31,8 +31,8 @@
 NO_ENTRIES = -1
 """Sent in place of a version by a node that takes no changes from this relay."""
 MAX_BEATS_PER_INTERVAL = 3
-"""However often a node is woken, it beats only so often: news of many deaths at once multiplied the
-beats of 420 nodes on an overloaded machine, and overloaded what was alive."""
+"""However often a node is woken, it beats only so often: woken by each piece of news, 420 nodes on
+an overloaded machine beat up to four times as often and stayed overloaded (commit 9938361)."""
 SHORTEST_WAIT_S = 0.01
 """A node that is late waits at least this long for news before it beats again. Origin not
 recorded."""
--- a/src/crankseam/cluster/urgent_news.py
+++ b/src/crankseam/cluster/urgent_news.py
@@ -24,10 +24,11 @@
 SHORTEST_PAUSE_HEARTBEATS = 1 / 8
 """Pause between two rounds after a calm, in heartbeats. Origin not recorded."""
 LONGEST_PAUSE_HEARTBEATS = 2.0
-"""Pause between two rounds at most, in heartbeats; with the doubling set by the runs of 420 nodes
-on an overloaded machine."""
+"""Pause between two rounds at most, in heartbeats. Set with the doubling after 420 nodes on an
+overloaded machine did not recover from the news of their own deaths (commit 9938361)."""
 CALM_PAUSES = 4
-"""Pauses without a round after which the pause is short again. Set with the doubling."""
+"""Pauses without a round after which the pause is short again. Set with the doubling (commit
+9938361)."""
 
 
 def next_pause(since_last: float, pause: float, heartbeat: float) -> float:
--- a/src/crankseam/cluster/zone_order.py
+++ b/src/crankseam/cluster/zone_order.py
@@ -29,8 +29,8 @@
 RELAY_PURPOSE = "relay"
 REGION_PURPOSE = "region-duties"
 TREE_DEGREE = 2
-"""Members that take the digest from one member of the zone. The lowest that is a tree: a node's
-traffic is bounded first, and depth costs a heartbeat a level only for news that is not urgent."""
+"""Members that take the digest from one member of the zone. Measured at 50 nodes: a relay that
+answers all sent 20.8 KB/s, in the tree 17.9 (commit a5ffcee)."""
 
 
 def choose_relays(order: Sequence[Member], failed_lately: Callable[[str], bool]) -> list[Member]:
