--- /dev/null
+++ b/src/crankseam/records/agreement.py
@@ -0,0 +1,45 @@
+"""What do the replicas of a slot agree on: which value of a record may be relied on or proposed?
+
+Inputs: the answers of the replicas to one round, each with the ballot at which it accepted a value.
+Rule: what a majority accepted at one ballot is agreed. The fast ballot counts only with all
+replicas, since two fast quorums of a majority need not meet. A proposer continues with the value
+accepted at the highest ballot that a majority told it of.
+Protects: a value that was agreed once is never replaced by another that was not made from it.
+Shown by: what records say (`crankseam explain`). Held by: tests/records/test_agreement.py,
+tests/records/test_proposer.py, tests/records/test_record_machine.py; docs/design/04-records.md
+weighs the ways.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from crankseam.peers.messages import FAST_BALLOT, AnyMessage, Promise, ReplicaSet
+from crankseam.records.slots import majority
+
+
+def agreed_by_majority(
+    replica_set: ReplicaSet, answers: Mapping[str, AnyMessage]
+) -> Promise | None:
+    """What a majority holds at one ballot, or that it holds nothing at all.
+
+    None where that is not known from these answers; it needs a full round then.
+    """
+    promises = [answer for answer in answers.values() if isinstance(answer, Promise)]
+    if len(promises) < majority(replica_set):
+        return None
+    first = promises[0]
+    if any(promise.accepted != first.accepted for promise in promises):
+        return None
+    if first.accepted == FAST_BALLOT and len(promises) < len(replica_set.members):
+        return None
+    return first
+
+
+def value_to_continue(promises: Sequence[Promise]) -> bytes | None:
+    """The value accepted at the highest ballot; None where none was accepted."""
+    accepted = [promise for promise in promises if promise.accepted is not None]
+    if not accepted:
+        return None
+    newest = max(accepted, key=lambda promise: promise.accepted or FAST_BALLOT)
+    return newest.value
--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -1,7 +1,8 @@
 """Reads and changes replicated records by agreement of a majority of their replicas.
 
-Each record is a register with its own ballots (CASPaxos-like): there is no leader and no log.
-A new record is first tried in a fast round, which needs all replicas and one round trip.
+Owns this process's ballots. Each record is a register with its own ballots (CASPaxos-like): there
+is no leader and no log. A new record is first tried in a fast round, which needs all replicas and
+one round trip. Relies on `agreement` for what answers mean, and on its caller to reach a replica.
 """
 
 from __future__ import annotations
@@ -29,11 +30,18 @@
     ReplicaSet,
     StaleEpoch,
 )
+from crankseam.records.agreement import agreed_by_majority, value_to_continue
 from crankseam.records.slots import SlotTable, majority
 
 MAX_ROUNDS = 8
-FAST_ROUND_GRACE_SECONDS = 0.02
-RETRY_BASE_SECONDS = 0.005
+"""Rounds in which a change may lose to other proposers before it is given up. Origin not
+recorded."""
+FAST_ROUND_GRACE_S = 0.02
+"""How long the fast round waits for the last replicas once a majority accepted; several round trips
+between zones (docs/design/04-records.md). Origin not recorded."""
+RETRY_BASE_S = 0.005
+"""Upper bound of the pause after the first lost round; it doubles with each. Origin not
+recorded."""
 
 Change = Callable[[bytes | None], bytes | None]
 """From the current value to the next one; None leaves the record as it is."""
@@ -114,7 +122,7 @@
             self._identity,
         )
         members = len(replica_set.members)
-        answers = await self._ask(replica_set, message, members, FAST_ROUND_GRACE_SECONDS)
+        answers = await self._ask(replica_set, message, members, FAST_ROUND_GRACE_S)
         accepted = sum(isinstance(answer, Accepted) for answer in answers.values())
         if accepted < members:
             self._raise_if_expired(answers)
@@ -134,7 +142,7 @@
         try:
             return await self._accept(where, replica_set, owned.ballot, value)
         except (_EpochChanged, NoQuorum):
-            return False
+            return False  # the caller goes the long way, which tells what stands
 
     async def change(self, where: RecordKey, change: Change) -> bytes | None:
         """Apply `change` to the record's agreed value and return the value agreed afterwards.
@@ -148,7 +156,7 @@
             try:
                 return await self._change_once(where, change)
             except (_EpochChanged, Contention):
-                await asyncio.sleep(self._random.uniform(0, RETRY_BASE_SECONDS * 2**attempt))
+                await asyncio.sleep(self._random.uniform(0, RETRY_BASE_S * 2**attempt))
         raise Contention(where.key)
 
     async def read(self, where: RecordKey) -> bytes | None:
@@ -156,31 +164,13 @@
         replica_set = self._require_set(where)
         message = ReadRecord(where.slot, replica_set.epoch, where.key)
         answers = await self._ask(replica_set, message, needed=majority(replica_set))
-        agreed = self._agreed_by_majority(replica_set, answers)
+        agreed = agreed_by_majority(replica_set, answers)
         if agreed is not None:
             return agreed.value
         return await self.change(where, lambda current: current)
 
     # --- rounds
 
-    @staticmethod
-    def _agreed_by_majority(
-        replica_set: ReplicaSet, answers: Mapping[str, AnyMessage]
-    ) -> Promise | None:
-        """What a majority holds at one ballot other than the fast one, or nothing at all.
-
-        The fast round counts only when every replica accepted, so it needs a full round to judge.
-        """
-        promises = [answer for answer in answers.values() if isinstance(answer, Promise)]
-        if len(promises) < majority(replica_set):
-            return None
-        first = promises[0]
-        if any(promise.accepted != first.accepted for promise in promises):
-            return None
-        if first.accepted == FAST_BALLOT and len(promises) < len(replica_set.members):
-            return None
-        return first
-
     async def _change_once(self, where: RecordKey, change: Change) -> bytes | None:
         replica_set = self._require_set(where)
         self._highest_round += 1
@@ -200,12 +190,7 @@
     ) -> bytes | None:
         message = Prepare(where.slot, replica_set.epoch, where.key, where.dated, ballot)
         answers = await self._ask(replica_set, message, needed=majority(replica_set))
-        promises = self._majority_of(Promise, where, replica_set, answers)
-        accepted = [promise for promise in promises if promise.accepted is not None]
-        if not accepted:
-            return None
-        newest = max(accepted, key=lambda promise: promise.accepted or FAST_BALLOT)
-        return newest.value
+        return value_to_continue(self._majority_of(Promise, where, replica_set, answers))
 
     async def _accept(
         self, where: RecordKey, replica_set: ReplicaSet, ballot: Ballot, value: bytes
@@ -298,4 +283,4 @@
         try:
             return member, await self._caller.call_identity(member, message, self._timeout)
         except PeerError:
-            return member, None
+            return member, None  # a replica that gives no answer is one that does not count
--- a/src/crankseam/records/reconfigurer.py
+++ b/src/crankseam/records/reconfigurer.py
@@ -1,5 +1,6 @@
 """Moves a slot to a new replica set, with its state, without the key-value service.
 
+Owns no state: a move that its maker left half done is completed by whoever calls `finish`.
 The next set is itself agreed by a majority of the old one, in a register of the slot. Then a
 majority of the old set is sealed (it refuses all further operations of the epoch) and hands over
 its registers; the merged state is installed on a majority of the new set before it serves.
@@ -33,7 +34,8 @@
 log = logging.getLogger(__name__)
 
 NEXT_SET_KEY = "next-replica-set"
-HANDOVER_TIMEOUT = 5.0
+HANDOVER_TIMEOUT_S = 5.0
+"""For one page of a slot's state, about 2 MB. Origin not recorded."""
 
 
 class Reconfigurer:
@@ -125,9 +127,9 @@
     async def _ask(self, member: str, message: Message) -> AnyMessage | None:
         """A member's answer, or None if it gave none."""
         try:
-            return await self._caller.call_identity(member, message, HANDOVER_TIMEOUT)
+            return await self._caller.call_identity(member, message, HANDOVER_TIMEOUT_S)
         except PeerError:
-            return None
+            return None  # a member that gives no answer is one that does not count
 
 
 def split_pages(state: SlotState) -> list[SlotState]:
--- a/src/crankseam/records/replica.py
+++ b/src/crankseam/records/replica.py
@@ -1,4 +1,9 @@
-"""One node's replicas: registers in memory, each changed only by ballots of its slot's epoch."""
+"""One node's replicas: registers in memory, each changed only by ballots of its slot's epoch.
+
+Owns the registers of every slot of which this process is a replica; they die with it. Relies on
+nobody: each message is answered from what stands here. A process that was started anew is another
+replica and has no vote until a move brings it in with state.
+"""
 
 from __future__ import annotations
 
@@ -35,6 +40,7 @@
 PAGE_BYTES = 2 * 1024 * 1024
 """State is handed over in pages of about this size, far below the largest frame."""
 RECORD_OVERHEAD_BYTES = 40
+"""Of a record on the wire beside its key and value, about."""
 
 
 @dataclass(slots=True)
--- a/src/crankseam/records/slots.py
+++ b/src/crankseam/records/slots.py
@@ -1,4 +1,14 @@
-"""Which slot a record belongs to, and which nodes should be a slot's replicas."""
+"""Which slot does a record belong to, and which nodes should be a slot's replicas?
+
+Inputs: the record's key, the number of slots (a setting, the same on all nodes), and the living
+members of the region (as old as the last heartbeat).
+Rule: a key's slot is its hash; a slot's replicas are the first members by rendezvous rank, each
+from another zone while there are zones left, `REPLICAS_PER_SLOT` in all.
+Protects: a zone's loss takes at most one replica of a slot, and a node's coming or going moves only
+the slots that it is best for.
+Shown by: `slots` in `crankseam status`. Held by: tests/records/test_slots.py,
+tests/cluster/test_membership.py.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +21,9 @@
 from crankseam.peers.messages import Member, ReplicaSet
 
 RANKS_KEPT = 100_000
+"""Ranks remembered, so that each is hashed once. Origin not recorded."""
 CONFIGURATION_SLOT = 0
+"""Slot of the configuration records, whatever their keys."""
 CONFIGURATION_KEY = "configuration"
 
 
--- /dev/null
+++ b/tests/records/test_agreement.py
@@ -0,0 +1,38 @@
+"""What the answers of a slot's replicas agree on."""
+
+from crankseam.peers.messages import FAST_BALLOT, Ballot, Promise, Rejected, ReplicaSet
+from crankseam.records.agreement import agreed_by_majority, value_to_continue
+
+SET = ReplicaSet(0, 1, ["a@1", "b@1", "c@1"], 0)
+EMPTY = Promise(None, None)
+FAST = Promise(FAST_BALLOT, b"fast")
+FIRST = Promise(Ballot(2, "p@1"), b"first")
+SECOND = Promise(Ballot(3, "q@1"), b"second")
+
+
+def agreed(*answers):
+    return agreed_by_majority(SET, dict(zip(SET.members, answers, strict=False)))
+
+
+def test_a_majority_at_one_ballot_is_agreed():
+    assert agreed(FIRST, FIRST) == FIRST
+    assert agreed(EMPTY, EMPTY) == EMPTY
+
+
+def test_fewer_than_a_majority_or_different_ballots_tell_nothing():
+    assert agreed(FIRST) is None
+    assert agreed(FIRST, Rejected(Ballot(4, "q@1"))) is None
+    assert agreed(FIRST, SECOND) is None
+    assert agreed(FIRST, FIRST, EMPTY) is None
+
+
+def test_a_fast_value_counts_only_with_all_replicas():
+    assert agreed(FAST, FAST) is None
+    assert agreed(FAST, FAST, FAST) == FAST
+
+
+def test_a_proposer_continues_with_the_value_of_the_highest_ballot():
+    assert value_to_continue([EMPTY, EMPTY]) is None
+    assert value_to_continue([FAST, EMPTY]) == b"fast"
+    assert value_to_continue([FIRST, FAST]) == b"first"
+    assert value_to_continue([FIRST, SECOND, EMPTY]) == b"second"
