--- a/src/crankseam/rollout/cursor.py
+++ b/src/crankseam/rollout/cursor.py
@@ -1,10 +1,15 @@
-"""A trainer's cursor: the set of sample indices it has received, written as ranges `0-5,8`."""
+"""A trainer's cursor: the set of sample indices it has received, written as ranges `0-5,8`.
+
+Owns the text form. The cursor is the truth of what a trainer has, in whichever order it came.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 MAX_INDEX = 1_000_000
+"""Highest index that a cursor may name: a short text must not become a large set. Origin not
+recorded."""
 
 
 def parse_cursor(text: str) -> set[int]:
--- a/src/crankseam/rollout/executors.py
+++ b/src/crankseam/rollout/executors.py
@@ -33,10 +33,13 @@
 log = logging.getLogger(__name__)
 
 LOCAL_STREAMS = 64
-"""Streams a driving node reads itself before it asks others; one node reads so many with ease."""
+"""Streams a driving node reads itself before it asks others (commit e9e2f91; the cost of a stream
+is in docs/CAPACITY.md). Origin of the value not recorded."""
 
-REMOTE_TIMEOUT_SECONDS = 1800.0
-WATCH_SECONDS = 0.5
+REMOTE_TIMEOUT_S = 1800.0
+"""Longest time for which another node reads one stream. Origin not recorded."""
+WATCH_S = 0.5
+"""How often each side of a stream looks whether the other is still alive. Origin not recorded."""
 
 
 async def read_stream(
@@ -109,18 +112,18 @@
         )
         call = asyncio.create_task(
             self._agent.transport.call_for(
-                executor.peer_address, message, CompletionOutcome, REMOTE_TIMEOUT_SECONDS
+                executor.peer_address, message, CompletionOutcome, REMOTE_TIMEOUT_S
             )
         )
         try:
             while not call.done():
-                await asyncio.wait([call], timeout=WATCH_SECONDS)
+                await asyncio.wait([call], timeout=WATCH_S)
                 if not call.done() and not self._is_alive(executor):
                     break
             if call.done():
                 return call.result()
         except PeerError:
-            pass
+            pass  # logged below, as for an executor that is known to be dead
         finally:
             if not call.done():
                 call.cancel()
@@ -162,7 +165,7 @@
         self._running[key] = task
         try:
             while not task.done():
-                await asyncio.wait([task], timeout=WATCH_SECONDS)
+                await asyncio.wait([task], timeout=WATCH_S)
                 if self._is_dead(peer):
                     task.cancel()  # nobody waits for it any more
             return task.result()
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -1,4 +1,13 @@
-"""Generates one sample, going on elsewhere with the tokens it has when a sampler breaks off."""
+"""Generates one sample, going on elsewhere with the tokens it has when a sampler breaks off.
+
+Owns the partial sample. Relies on the router for the sampler with the least load within the
+staleness bound, on the pool's limit, the quarantine and `may_send` for whether one may be asked
+now, and on the sampler's own report for the version of each token.
+
+`jobs/item_run` does this on the users' platform, and differs by intent: there a place at a sampler
+is assigned before the run and kept, runs may be moved to a faster sampler, results have deadlines,
+and an item is given up after its route's attempts. A sample is made until it is whole or its step
+is over."""
 
 from __future__ import annotations
 
@@ -32,8 +41,11 @@
 log = logging.getLogger(__name__)
 
 REASON = "least load within the staleness bound"
-WAIT_FOR_SAMPLER_BASE = 0.02
-WAIT_FOR_SAMPLER_CAP = 0.1
+WAIT_BASE_S = 0.02
+"""Shortest pause before a sampler is looked for again, and upper bound of what chance adds to the
+first one. Origin not recorded."""
+WAIT_CAP_S = 0.1
+"""Upper bound of what chance adds to any pause. Origin not recorded."""
 
 
 @dataclass
@@ -168,13 +180,13 @@
         target: Callable[[], GenerationTarget],
         trial: Trial,
     ) -> SampleResult:
-        backoff = Backoff(WAIT_FOR_SAMPLER_BASE, WAIT_FOR_SAMPLER_CAP)
+        backoff = Backoff(WAIT_BASE_S, WAIT_CAP_S)
         while True:
             await trial.wait_admitted()
             wanted = target()
             decision = await self._attempt_within_limit(job, wanted, trial)
             if decision is None:
-                await asyncio.sleep(WAIT_FOR_SAMPLER_BASE + backoff.next_delay())
+                await asyncio.sleep(WAIT_BASE_S + backoff.next_delay())
                 continue
             backoff.reset()
             if job.is_whole:
--- a/src/crankseam/rollout/lengths.py
+++ b/src/crankseam/rollout/lengths.py
@@ -1,11 +1,14 @@
-"""Estimates how long samples will be, by their prompt group."""
+"""Estimates how long samples will be, by their prompt group.
+
+Owns a running mean a group, in tokens, of what this node saw end. A trainer's own estimate goes
+first."""
 
 from __future__ import annotations
 
 from crankseam.rollout.messages import SampleRequest
 
 SMOOTHING = 0.3
-"""Weight of the newest length in a group's running mean."""
+"""Weight of the newest length in a group's running mean. Origin not recorded."""
 
 
 class LengthEstimator:
--- a/src/crankseam/rollout/messages.py
+++ b/src/crankseam/rollout/messages.py
@@ -1,4 +1,8 @@
-"""What trainers send and get, and what is recorded of steps and samples."""
+"""What trainers send and get, and what is recorded of steps and samples.
+
+Owns the JSON of the trainers' interface and the stored bytes of the records: field names and their
+order are both on the wire.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/rollout/sample_records.py
+++ b/src/crankseam/rollout/sample_records.py
@@ -1,4 +1,8 @@
-"""Commits the results of samples: the first whole result of a generation wins."""
+"""Commits the results of samples: the first whole result of a generation wins.
+
+Owns the keys and dates of a step's records. Relies on the proposer for a majority's agreement; who
+drives the step and what is committed is what its record says, not what a node remembers.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +12,9 @@
 from crankseam.records.proposer import RecordKey
 from crankseam.rollout.messages import SampleRecord, SampleResult, StepRecord
 
-STEP_RETENTION_MILLISECONDS = 2 * 3600 * 1000
-"""Records of a step are kept this much longer than those of requests."""
+STEP_RETENTION_MS = 2 * 3600 * 1000
+"""Records of a step are kept this much longer than those of requests: 2 hours. Origin not
+recorded."""
 
 _record_decoder = msgspec.msgpack.Decoder(SampleRecord)
 
@@ -20,7 +25,7 @@
     def __init__(self, agent: ClusterAgent, trainer: str, step: int, opened_at_ms: int) -> None:
         self._agent = agent
         self._prefix = f"{trainer}/{step}"
-        self._dated = opened_at_ms + STEP_RETENTION_MILLISECONDS
+        self._dated = opened_at_ms + STEP_RETENTION_MS
 
     def _locate(self, index: int) -> RecordKey:
         return self._agent.locate(f"sample/{self._prefix}/{index}", self._dated)
--- a/src/crankseam/rollout/scheduler.py
+++ b/src/crankseam/rollout/scheduler.py
@@ -1,4 +1,8 @@
-"""Decides in which order waiting samples get a place at a pool's samplers."""
+"""Queue of waiting samples before the places at a pool's samplers.
+
+Owns who waits and how many run. Relies on `step_rules` for the order; equal positions are served in
+the order in which they came. A cancelled waiter gives its place on.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +13,23 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 
+from crankseam.rollout.step_rules import QueuePosition
+
 
 @dataclass(order=True)
 class _Waiting:
-    key: tuple[float, ...]
+    position: QueuePosition
     number: int
     granted: asyncio.Future[None] = field(compare=False)
 
 
 class PoolScheduler:
-    """A queue in order of key before the places that this node may fill at a pool.
+    """A queue in order of position before the places that this node may fill at a pool.
 
-    Samples of earlier steps go first, since a trainer waits for the earliest; within a step the
-    longest go first, since the one that is started last should not be the one that runs longest.
+    Parameters
+    ==========
 
-    Args:
-        capacity: how many samples may run at the pool from this node, asked anew each time.
+    capacity : how many samples may run at the pool from this node, asked anew each time.
     """
 
     def __init__(self, capacity: Callable[[], int]) -> None:
@@ -34,17 +39,18 @@
         self.running = 0
 
     @asynccontextmanager
-    async def place(self, key: tuple[float, ...]) -> AsyncIterator[None]:
-        """Hold one place; lower keys are served first."""
-        await self._acquire(key)
+    async def place(self, position: QueuePosition) -> AsyncIterator[None]:
+        """Hold one place; lower positions are served first."""
+        await self._acquire(position)
         try:
             yield
         finally:
             self.running -= 1
             self._grant()
 
-    async def _acquire(self, key: tuple[float, ...]) -> None:
-        waiting = _Waiting(key, next(self._numbers), asyncio.get_running_loop().create_future())
+    async def _acquire(self, position: QueuePosition) -> None:
+        granted = asyncio.get_running_loop().create_future()
+        waiting = _Waiting(position, next(self._numbers), granted)
         heapq.heappush(self._queue, waiting)
         self._grant()
         try:
--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -1,4 +1,8 @@
-"""The steps that this node drives, and the HTTP interface for trainers."""
+"""The steps that this node drives, and the HTTP interface for trainers.
+
+Owns the runs of steps on this node and the queue before each pool. Relies on the configuration
+lease for whether this node may take new work, and on the trainer, who opens a step again on another
+node when this one is gone."""
 
 from __future__ import annotations
 
@@ -12,19 +16,22 @@
 from crankseam.config.kinds import Trainer
 from crankseam.constants import OUTCOME_NOT_RUN, OUTCOME_UNKNOWN
 from crankseam.errors import BadRequest, NotFound, RecordError, StillRunning, Unavailable
+from crankseam.requests import retry_after
 from crankseam.rollout.cursor import parse_cursor
 from crankseam.rollout.generation import GenerationTarget, SampleGenerator
 from crankseam.rollout.lengths import LengthEstimator
 from crankseam.rollout.messages import Acknowledge, OpenStep
-from crankseam.rollout.sample_records import STEP_RETENTION_MILLISECONDS, SampleRecords
+from crankseam.rollout.sample_records import STEP_RETENTION_MS, SampleRecords
 from crankseam.rollout.scheduler import PoolScheduler
+from crankseam.rollout.step_rules import is_far_enough
 from crankseam.rollout.step_run import StepRun
 
 log = logging.getLogger(__name__)
 
 MAX_SAMPLES_PER_STEP = 16_384
-STEP_AGE_MARGIN_MILLISECONDS = 60_000
-RETRY_SECONDS = 1.0
+"""Bounds a node's memory and the trainer's cursor. Origin not recorded."""
+STEP_AGE_MARGIN_MS = 60_000
+"""Trainers' clocks may run ahead by this much. Origin not recorded."""
 JSON_LINES = "application/x-ndjson"
 
 
@@ -71,10 +78,10 @@
 
     def _require_trainer(self, request: web.Request) -> Trainer:
         if self.draining:
-            raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, RETRY_SECONDS)
+            raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
         if not self._agent.lease.is_held():
             detail = "this node cannot confirm its configuration"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, RETRY_SECONDS)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.UNCONFIRMED_S)
         name = request.match_info["trainer"]
         trainer = self._agent.lease.snapshot.trainers.get(name)
         if trainer is None:
@@ -102,8 +109,8 @@
             raise BadRequest(f"samples: 1 to {MAX_SAMPLES_PER_STEP}", OUTCOME_NOT_RUN)
         if [sample.index for sample in opening.samples] != list(range(len(opening.samples))):
             raise BadRequest("samples: indices from 0 without gaps", OUTCOME_NOT_RUN)
-        age = clocks.wall_ms() - opening.opened_at_ms
-        if age > STEP_RETENTION_MILLISECONDS or age < -STEP_AGE_MARGIN_MILLISECONDS:
+        age_ms = clocks.wall_ms() - opening.opened_at_ms
+        if age_ms > STEP_RETENTION_MS or age_ms < -STEP_AGE_MARGIN_MS:
             raise BadRequest("opened_at_ms: a time within the retention", OUTCOME_NOT_RUN)
 
     async def _start(
@@ -125,7 +132,7 @@
         except RecordError as error:
             del self._runs[trainer.name, opening.step]
             await run.stop()
-            raise Unavailable(f"step not recorded: {error}", OUTCOME_UNKNOWN, RETRY_SECONDS)
+            raise Unavailable(f"step not recorded: {error}", OUTCOME_UNKNOWN, retry_after.RECORD_S)
         return run
 
     def _scheduler(self, pool_name: str) -> PoolScheduler:
@@ -143,7 +150,8 @@
         for (name, earlier), run in self._runs.items():
             if name != trainer_name or earlier >= step or run.superseded:
                 continue
-            if run.remaining() > trainer.idle_weight * len(run.opening.samples):
+            samples = len(run.opening.samples)
+            if not is_far_enough(run.remaining(), samples, trainer.idle_weight):
                 return False
         return True
 
--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -1,4 +1,9 @@
-"""One step on the node that drives it: generates what is missing, commits, and delivers."""
+"""One step on the node that drives it: generates what is missing, commits, and delivers.
+
+Owns what this node knows of the step: committed results, what the trainer has, what is being made.
+Relies on `sample_records` for agreement (the first whole result committed wins, whoever made it),
+on `step_rules` and the scheduler for when a sample runs, and on the trainer's cursor for what to
+deliver."""
 
 from __future__ import annotations
 
@@ -22,15 +27,23 @@
 )
 from crankseam.rollout.sample_records import SampleRecords
 from crankseam.rollout.scheduler import PoolScheduler
+from crankseam.rollout.step_rules import QueuePosition, queue_position
 from crankseam.tasks import TaskGroupOwner
 
 log = logging.getLogger(__name__)
 
-DRIVER_CHECK_SECONDS = 1.0
-BEGIN_POLL_SECONDS = 0.02
+DRIVER_CHECK_S = 1.0
+"""How often a driver looks whether another node took the step over. Nothing correct depends on it.
+Origin not recorded."""
+BEGIN_POLL_S = 0.02
+"""How often a step looks whether it may start. Origin not recorded."""
 READ_CONCURRENCY = 64
-COMMIT_BACKOFF_BASE = 0.05
-COMMIT_BACKOFF_CAP = 1.0
+"""Records that are read at a time when a step is taken over. Origin not recorded."""
+COMMIT_RETRY_BASE_S = 0.05
+"""Shortest pause after a failed commit, and upper bound of what chance adds to the first one.
+Origin not recorded."""
+COMMIT_RETRY_CAP_S = 1.0
+"""Upper bound of what chance adds to any pause. Origin not recorded."""
 
 
 class StepRun:
@@ -91,7 +104,7 @@
             target = self._target(self.trainer_version)
             if self._may_begin() and self._generator.has_eligible(target):
                 break
-            await asyncio.sleep(BEGIN_POLL_SECONDS)
+            await asyncio.sleep(BEGIN_POLL_S)
         for index in self._requests:
             if index not in self._acknowledged and index not in self._committed:
                 self._start_sample(self._requests[index])
@@ -113,11 +126,11 @@
 
     async def _watch_driver(self) -> None:
         while True:
-            await asyncio.sleep(DRIVER_CHECK_SECONDS)
+            await asyncio.sleep(DRIVER_CHECK_S)
             try:
                 is_driver = await self._records.is_driver()
             except RecordError:
-                continue
+                continue  # not known now; nothing correct depends on there being one driver
             if not is_driver:
                 log.info("step taken over by another node", extra={"step": self.opening.step})
                 self.superseded = True
@@ -137,7 +150,7 @@
 
     async def _make_sample(self, request: SampleRequest) -> None:
         try:
-            async with self._scheduler.place(self._order(request)):
+            async with self._scheduler.place(self._queue_position(request)):
                 result = await self._generator.generate(
                     SampleJob(self.opening.step, request),
                     self._generations.get(request.index, 0),
@@ -148,12 +161,10 @@
         finally:
             self._generating.pop(request.index, None)
 
-    def _order(self, request: SampleRequest) -> tuple[float, ...]:
-        """Place in the queue: earlier steps first, then as the trainer's configuration says."""
+    def _queue_position(self, request: SampleRequest) -> QueuePosition:
         trainer = self._target(self.trainer_version).trainer
-        if trainer.sample_order == "as_given":
-            return (self.opening.step, request.index)
-        return (self.opening.step, -self._lengths.estimate(request))
+        expected_tokens = self._lengths.estimate(request)
+        return queue_position(trainer, self.opening.step, request.index, expected_tokens)
 
     async def _commit(self, result: SampleResult) -> None:
         record = await self._until_recorded(lambda: self._records.commit(result))
@@ -167,7 +178,7 @@
         self, change: Callable[[], Awaitable[SampleRecord]]
     ) -> SampleRecord | None:
         """Make a change of a record until it holds; None if the step is too old for records."""
-        backoff = Backoff(COMMIT_BACKOFF_BASE, COMMIT_BACKOFF_CAP)
+        backoff = Backoff(COMMIT_RETRY_BASE_S, COMMIT_RETRY_CAP_S)
         while True:
             try:
                 return await change()
@@ -175,7 +186,7 @@
                 log.warning("step is too old to record", extra={"step": self.opening.step})
                 return None
             except RecordError:
-                await asyncio.sleep(COMMIT_BACKOFF_BASE + backoff.next_delay())
+                await asyncio.sleep(COMMIT_RETRY_BASE_S + backoff.next_delay())
 
     def _take(self, index: int, record: SampleRecord) -> None:
         self._generations[index] = record.generation
