--- a/src/crankseam/cluster/digest.py
+++ b/src/crankseam/cluster/digest.py
@@ -38,6 +38,14 @@
     version: int
 
 
+@dataclass(frozen=True)
+class AgedReport:
+    """A report on a back end, and the seconds since it arrived here."""
+
+    report: BackEndReport
+    age: float
+
+
 NOTHING_KNOWN = KnownVersion(0, 0)
 """Of a node that was never asked."""
 
@@ -243,11 +251,11 @@
         """Each zone that any member was ever known in, with its region."""
         return {member.zone: member.region for member in self.members()}
 
-    def reports_for(self, target: str) -> list[tuple[BackEndReport, float]]:
-        """Reports on one back end, each with the seconds since it arrived."""
+    def reports_for(self, target: str) -> list[AgedReport]:
+        """All watchers' reports on one back end."""
         now = self._clock()
         found = [self._reports[target, watcher] for watcher in self._watchers.get(target, ())]
-        return [(known.item, now - known.changed_at) for known in found]
+        return [AgedReport(known.item, now - known.changed_at) for known in found]
 
     def purge(self, keep_reports: set[str], report_retention: float) -> None:
         """Drop long dead members, and reports that nobody renews or needs."""
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -36,6 +36,7 @@
 from crankseam.errors import CrankseamError
 from crankseam.peers.messages import BackEndReport
 from crankseam.records.slots import ranked
+from crankseam.routing import NOTE_PREFIX
 from crankseam.weights_cache import cache_source
 
 log = logging.getLogger(__name__)
@@ -141,11 +142,11 @@
         """Have a sampler looked at again that its watchers see at another version."""
         progress = self._progress_of(sampler.name, version)
         reports = self._agent.digest.reports_for(f"{pool.name}/{sampler.name}")
-        seen = [item for item in reports if item[0].version >= 0]
+        seen = [each for each in reports if each.report.version >= 0]
         if not progress.is_serving or not seen:
             return
-        report, age = min(seen, key=lambda item: item[1])
-        if progress.is_contradicted(report.version, age, time.monotonic()):
+        newest = min(seen, key=lambda each: each.age)
+        if progress.is_contradicted(newest.report.version, newest.age, time.monotonic()):
             progress.forget_state()
 
     async def _look_at_unknown(self, samplers: list[BackEnd], version: int) -> None:
@@ -279,7 +280,7 @@
             reports.append(
                 BackEndReport(
                     target=f"{pool.name}/{sampler.name}",
-                    watcher=f"weights/{self._agent.settings.name}",
+                    watcher=f"{NOTE_PREFIX}{self._agent.settings.name}",
                     sequence=clocks.wall_ms(),
                     alive=True,
                     leaving=False,
--- a/src/crankseam/routing.py
+++ b/src/crankseam/routing.py
@@ -1,4 +1,21 @@
-"""Chooses a back end: least load, corrected by what this node sent since the load was reported."""
+"""Which back end gets a request or sample, and why do the others not?
+
+Inputs: the configuration's back ends; watchers' reports of their life, leaving flag, load and
+version (as old as `age` says; see `back_end_watch`); what this node itself sent there and when a
+connection was last refused (seconds of the steady clock); the machine list's leaving machines.
+Rule: one that is leaving by any source, set aside, silent to all its watchers, or refused a
+connection within `CONNECTION_FAILURE_S` is not eligible. Of the others the least load wins, which
+is what this node has in flight there or, if more, the newest report and what was sent since. Equal
+loads: one of this zone first, then a random tie-break, so that nodes do not all agree.
+Protects: a back end that leaves from new work, and the others from the load that reports, seconds
+old, do not show.
+Shown by: the decision in `crankseam explain`, with each candidate and the reason it was refused.
+Held by: tests/test_routing.py, tests/requests/test_app_requests.py, tests/rollout/.
+
+`serving/back_ends.choose` does this on the users' platform, and differs by intent: a back end has
+slots there that loads are measured against, failures in a row are avoided for longer and longer and
+such a back end is taken where no other is left, and no refusals are kept to be asked about.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +26,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from crankseam.cluster.digest import DigestTable
+from crankseam.clients.load_report import NO_VERSION
+from crankseam.cluster.digest import AgedReport, DigestTable
 from crankseam.config.kinds import BackEnd
 from crankseam.decisions import Candidate
 
-CONNECTION_FAILURE_SECONDS = 1.0
-"""A back end that refused a connection is passed over for this long."""
+CONNECTION_FAILURE_S = 1.0
+"""A back end that refused a connection is passed over for this long; its watchers report it dead
+within two readings. Origin not recorded."""
+REMEMBERED_SENDS = 1024
+"""Sends to one back end whose times are kept, to be counted after a report. Origin not recorded."""
 
 NOTE_PREFIX = "weights/"
 """Reports of this kind of watcher carry a controller's note and no load."""
@@ -29,10 +50,25 @@
     """What this node itself knows of one back end."""
 
     in_flight: int = 0
-    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=1024))
+    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=REMEMBERED_SENDS))
     failed_at: float = float("-inf")
 
 
+def expected_load(view: LocalView, newest: AgedReport | None, now: float) -> float:
+    """Requests at a back end, as far as this node can tell."""
+    if newest is None:
+        return float(view.in_flight)
+    reported_at = now - newest.age
+    sent_since = sum(1 for at in reversed(view.sent_at) if at > reported_at)
+    reported = newest.report.running + newest.report.waiting
+    return float(max(view.in_flight, reported + sent_since))
+
+
+def watchers_only(reports: Iterable[AgedReport]) -> list[AgedReport]:
+    """The reports of watchers, without controllers' notes."""
+    return [each for each in reports if not each.report.watcher.startswith(NOTE_PREFIX)]
+
+
 @dataclass(frozen=True)
 class Choice:
     """A chosen back end (None if there was none) and all that were considered."""
@@ -130,32 +166,25 @@
         view = self.view(target)
         reports = self._digest.reports_for(target)
         refused = self._refusal(back_end, view, reports)
-        observed = [item for item in reports if not item[0].watcher.startswith(NOTE_PREFIX)]
-        load, version = self._load(view, observed)
+        newest = min(watchers_only(reports), key=lambda each: each.age, default=None)
+        load = expected_load(view, newest, self._clock())
+        version = newest.report.version if newest is not None else NO_VERSION
         return Candidate(back_end.name, load, version, refused)
 
-    def _load(self, view: LocalView, reports: list) -> tuple[float, int]:
-        if not reports:
-            return float(view.in_flight), -1
-        report, age = min(reports, key=lambda item: item[1])
-        reported_at = self._clock() - age
-        sent_since = sum(1 for at in reversed(view.sent_at) if at > reported_at)
-        reported = report.running + report.waiting
-        return float(max(view.in_flight, reported + sent_since)), report.version
-
-    def _refusal(self, back_end: BackEnd, view: LocalView, reports: list) -> str | None:
+    def _refusal(self, back_end: BackEnd, view: LocalView, reports: list[AgedReport]) -> str | None:
+        """Why the back end is not eligible; None if it is."""
         if back_end.leaving:
             return LEAVING_SEEN_FILE
-        if any(report.leaving for report, _age in reports):
+        if any(each.report.leaving for each in reports):
             return LEAVING_SEEN_REPORT
         if back_end.address.rpartition(":")[0] in self.leaving_machines:
             return LEAVING_SEEN_MACHINE
-        set_aside = next((r.set_aside for r, _age in reports if r.set_aside), None)
+        set_aside = next((each.report.set_aside for each in reports if each.report.set_aside), None)
         if set_aside is not None:
             return f"set aside: {set_aside}"
-        observed = [item for item in reports if not item[0].watcher.startswith(NOTE_PREFIX)]
-        if observed and not any(report.alive for report, _age in observed):
+        observed = watchers_only(reports)
+        if observed and not any(each.report.alive for each in observed):
             return "does not answer its watchers"
-        if self._clock() - view.failed_at < CONNECTION_FAILURE_SECONDS:
+        if self._clock() - view.failed_at < CONNECTION_FAILURE_S:
             return "refused a connection just now"
         return None
--- a/tests/rollout/test_generation.py
+++ b/tests/rollout/test_generation.py
@@ -65,7 +65,7 @@
         return True
 
     monkeypatch.setattr(generation, "refuses_connections", refuses)
-    monkeypatch.setattr("crankseam.routing.CONNECTION_FAILURE_SECONDS", 0.0)
+    monkeypatch.setattr("crankseam.routing.CONNECTION_FAILURE_S", 0.0)
     monkeypatch.setattr(trial, "PROBE_RETRY_S", 0.02)
     made = await Process(MemoryStore()).ready()
     yield made
