--- a/src/crankseam/serving/admission.py
+++ b/src/crankseam/serving/admission.py
@@ -7,12 +7,10 @@
 
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import Unauthorized, Unavailable
+from crankseam.serving.retry import RETRY_AFTER_UNCONFIRMED_S
 from crankseam.serving.routes import Configuration, RequestKind, Route
 from crankseam.serving.tenants import Tenant, shown_key
 
-UNCONFIRMED_RETRY_S = 0.5
-"""A process that lost the store is back within about this time, or the caller asks another one."""
-
 
 @dataclass(frozen=True, slots=True)
 class RevocationPolicy:
@@ -87,5 +85,5 @@
             raise Unauthorized("no API key that is known here", OUTCOME_NOT_RUN)
         if self._policy.strict and self._confirmed_age_s() > self._policy.confirm_s:
             reason = "whether the API key still stands can't be confirmed"
-            raise Unavailable(reason, OUTCOME_NOT_RUN, UNCONFIRMED_RETRY_S)
+            raise Unavailable(reason, OUTCOME_NOT_RUN, RETRY_AFTER_UNCONFIRMED_S)
         return tenant
--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -38,6 +38,15 @@
 RETRY_AFTER_NO_BACK_END_S = 0.1
 """`Retry-After`, seconds, of a request that no back end took: slots come free within one request's
 time. Fixed, without spread. Origin not recorded."""
+RETRY_AFTER_NO_CONFIGURATION_S = 0.3
+"""The same of a process that has read no configuration yet: it starts, and the entry offers others.
+Origin not recorded."""
+RETRY_AFTER_STORE_AWAY_S = 0.3
+"""The same of a job call that the store did not answer: the next one may come to a process that it
+does answer. Origin not recorded."""
+RETRY_AFTER_UNCONFIRMED_S = 0.5
+"""The same of a process that can't confirm an API key: one that lost the store is back within about
+this time, or the caller asks another one. Origin not recorded."""
 
 
 @dataclass
