--- a/src/crankseam/serving/logs.py
+++ b/src/crankseam/serving/logs.py
@@ -12,7 +12,6 @@
 import msgspec
 
 MAX_BUFFERED_LINES = 5000
-FLUSH_BYTES = 32 * 1024
 _STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
 
 
