--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -44,7 +44,8 @@
 
     record: BackEndRecord
     in_flight: int = 0
-    """Requests of this process that run there."""
+    """Requests of this process that run there or were promised a place; counted by `occupy_slot`
+    and `release_slot`."""
     reported_load: int = 0
     reported_own: int = 0
     reported_at: float = float("-inf")
@@ -57,6 +58,14 @@
     has_ended: bool = False
     """Whether this process found that it ended without having said so."""
 
+    def occupy_slot(self) -> None:
+        """A request of this process is sent there, or is promised the next place."""
+        self.in_flight += 1
+
+    def release_slot(self) -> None:
+        """It has ended, or does not go there after all."""
+        self.in_flight -= 1
+
     def expected_load(self, now: float) -> float:
         """Requests there: this process's own and, while the report is fresh, those of others."""
         if now - self.reported_at > LOAD_REPORT_SECONDS:
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -191,7 +191,7 @@
         """One attempt at one back end; None when it gave nothing that ends the request."""
         history = forwarding.history
         history.sent_to(back_end.record.id)
-        back_end.in_flight += 1
+        back_end.occupy_slot()
         sent_at, may_have_run = clocks.promised_s(), True
         try:
             with forwarding.trial.sending() as send:
@@ -206,7 +206,7 @@
             back_end.failed()
             return None
         finally:
-            back_end.in_flight -= 1
+            back_end.release_slot()
             if may_have_run:
                 history.may_have_begun(sent_at)
         return self._take_answer(forwarding, back_end, answer)
