--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -24,7 +24,8 @@
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_place import routed_place
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.model import DEFAULT_MOST_ENDS_OF_ITEM, TrialSubject
+from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
+from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.trial import Send
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.engine_memory import RunSize
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -21,7 +21,8 @@
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_place import routed_place
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.model import DEFAULT_MOST_ENDS, TrialSubject
+from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
+from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.trial import Send
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -8,32 +8,8 @@
 
 import msgspec
 
+from crankseam.quarantine import holding
 from crankseam.quarantine.fingerprint import fingerprint_of
-from crankseam.serving.routes import RequestKind
-
-DEFAULT_MOST_ENDS = 2
-"""Back ends that may end under one request before it is held back. A request that a crash broke is
-served at its second try; one that ends each back end leaves a service of three with one."""
-DEFAULT_MOST_ENDS_OF_ITEM = 3
-"""The same for an item of a job. A sampler that ends takes a dozen items with it, which go on
-elsewhere at once: of twelve on six samplers two meet the culprit a second time, and one in three
-times one of them does a third time."""
-MOST_PROBES = 3
-"""So often a request that is held back is tried again; after that only an operator releases it."""
-FIRST_HOLD_S = 3.0
-"""A request that is held back is tried again after this: a healthy one, which was there by bad
-luck, is free then. An item that waits longer would cost its step."""
-HOLD_FACTOR = 4.0
-"""Each probe under which a back end ended makes the hold longer by this."""
-SUSPECTED_S = 600.0
-"""An end under a request that is not held back counts for so long."""
-HELD_LONGEST_S = 86_400.0
-"""A request that is held back is forgotten after this."""
-
-
-def default_most_ends(kind: RequestKind) -> int:
-    """Back ends that may end under one request of a route that says nothing of it."""
-    return DEFAULT_MOST_ENDS_OF_ITEM if kind is RequestKind.JOB else DEFAULT_MOST_ENDS
 
 
 @dataclass(frozen=True)
@@ -89,13 +65,11 @@
 
     def is_held(self, most_ends: int) -> bool:
         """Whether as many back ends ended as may."""
-        return len(self.ended) >= most_ends
+        return holding.is_held(len(self.ended), most_ends)
 
     def hold_s(self) -> float:
         """How long it is held back since its last change."""
-        if self.probes >= MOST_PROBES:
-            return HELD_LONGEST_S
-        return FIRST_HOLD_S * HOLD_FACTOR**self.probes
+        return holding.hold_s(self.probes)
 
 
 def name_of_end(back_end: str) -> str:
--- a/src/crankseam/quarantine/table.py
+++ b/src/crankseam/quarantine/table.py
@@ -8,18 +8,12 @@
 from dataclasses import dataclass, field
 
 from crankseam.coordination.interface import ABSENT
-from crankseam.quarantine.model import (
-    DEFAULT_MOST_ENDS,
-    HELD_LONGEST_S,
-    SUSPECTED_S,
-    SuspectRecord,
-)
+from crankseam.quarantine import holding
+from crankseam.quarantine.model import SuspectRecord
 
 MOST_SUSPECTS = 1000
 """More are not remembered: some 300 bytes each. Those that are not held back go first, then those
 that changed longest ago."""
-TOLD_LONGEST_S = 60.0
-"""What a peer told and the store never took is forgotten after this: whoever told it is gone."""
 
 
 @dataclass(slots=True)
@@ -43,14 +37,12 @@
 
     def is_held(self) -> bool:
         """Whether it is held back for callers."""
-        return self.record.is_held(DEFAULT_MOST_ENDS)
+        return self.record.is_held(holding.DEFAULT_MOST_ENDS)
 
     def is_over(self) -> bool:
         """Whether it is remembered no longer."""
-        kept_s = HELD_LONGEST_S if self.is_held() else SUSPECTED_S
-        if self.revision == ABSENT:
-            kept_s = TOLD_LONGEST_S
-        return time.monotonic() - self.changed_at > kept_s
+        remembered_s = holding.remembered_s(self.is_held(), stored=self.revision != ABSENT)
+        return time.monotonic() - self.changed_at > remembered_s
 
 
 class SuspectTable:
--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/trial.py
@@ -11,6 +11,7 @@
 
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import RequestHeld
+from crankseam.quarantine import holding
 from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.table import Suspect
 
@@ -19,13 +20,6 @@
 
 log = logging.getLogger(__name__)
 
-PROBE_RETRY_S = 0.5
-"""A probe that the store did not give, or gave to another process, is asked for again."""
-
-
-PROBE_TURN_S = 0.05
-"""An item whose hold is over asks so often whether another suspect's probe is over."""
-
 
 @dataclass(slots=True)
 class Send:
@@ -80,7 +74,7 @@
         suspect = self._held()
         if suspect is None or await self._win_probe(suspect):
             return
-        retry_after_s = max(suspect.held_for_s(), PROBE_RETRY_S)
+        retry_after_s = holding.retry_after_s(suspect.held_for_s())
         log.info(
             "request_held",
             extra={
@@ -114,7 +108,7 @@
             },
         )
         while suspect is not None and not await self._win_probe(suspect):
-            await asyncio.sleep(min(PROBE_RETRY_S, max(suspect.held_for_s(), PROBE_TURN_S)))
+            await asyncio.sleep(holding.probe_pause_s(suspect.held_for_s()))
             suspect = self._held()
 
     async def _win_probe(self, suspect: Suspect) -> bool:
@@ -135,7 +129,7 @@
         suspect = self._quarantine.find(self.subject)
         if suspect is not None:
             ended.update(suspect.record.ended)
-        return len(ended) + self._running < self._most_ends
+        return holding.may_send_again(len(ended), self._running, self._most_ends)
 
     # --- what came of it
 
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -16,7 +16,8 @@
 
 from crankseam import clocks
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.model import TrialSubject, default_most_ends
+from crankseam.quarantine.holding import default_most_ends
+from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.trial import Send, Trial
 from crankseam.serving import retry
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
--- a/tests/quarantine/test_quarantine_machine.py
+++ b/tests/quarantine/test_quarantine_machine.py
@@ -8,17 +8,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from crankseam.errors import RequestHeld
-from crankseam.quarantine import model, trial
+from crankseam.quarantine import holding
 from crankseam_standins.memory_store import MemoryStore
 from tests.quarantine.factories import Process, make_subject
 
 PROCESSES = 3
-SHORT = {(model, "FIRST_HOLD_S"): 0.04, (trial, "PROBE_RETRY_S"): 0.02}
+SHORT = {(holding, "FIRST_HOLD_S"): 0.04, (holding, "PROBE_RETRY_S"): 0.02}
 PROCESS = st.integers(0, PROCESSES - 1)
 CULPRITS = [make_subject(body=b"culprit 0"), make_subject(body=b"culprit 1")]
 HEALTHY = [make_subject(body=b"healthy %d" % number) for number in range(4)]
 MOST_ENDS = 2
-LONGEST_HOLD_S = 0.04 * model.HOLD_FACTOR ** (model.MOST_PROBES - 1)
+LONGEST_HOLD_S = 0.04 * holding.HOLD_FACTOR ** (holding.MOST_PROBES - 1)
 
 
 class Histories(RuleBasedStateMachine):
@@ -139,7 +139,7 @@
 
     @invariant()
     def a_culprit_ends_few(self):
-        most = MOST_ENDS + model.MOST_PROBES
+        most = MOST_ENDS + holding.MOST_PROBES
         assert all(count <= most for count in self.ends.values()), self.ends
 
     @invariant()
@@ -163,7 +163,7 @@
             await asyncio.sleep(0.5)
             for number in range(len(HEALTHY)):
                 found = self.processes[0].table.find(HEALTHY[number].fingerprint)
-                if found is None or found.record.probes < model.MOST_PROBES:
+                if found is None or found.record.probes < holding.MOST_PROBES:
                     await until_served(number)
 
         self._do(serve_all())
--- a/tests/quarantine/test_trial.py
+++ b/tests/quarantine/test_trial.py
@@ -4,7 +4,7 @@
 
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import RequestHeld
-from crankseam.quarantine import model, trial
+from crankseam.quarantine import holding
 from crankseam_standins.memory_store import MemoryStore
 from tests.quarantine.factories import Process, known_everywhere, make_subject, send
 from tests.support.waiting import eventually
@@ -24,8 +24,8 @@
 
 @pytest.fixture
 def short_holds(monkeypatch):
-    monkeypatch.setattr(model, "FIRST_HOLD_S", 0.05)
-    monkeypatch.setattr(trial, "PROBE_RETRY_S", 0.05)
+    monkeypatch.setattr(holding, "FIRST_HOLD_S", 0.05)
+    monkeypatch.setattr(holding, "PROBE_RETRY_S", 0.05)
 
 
 async def hold(processes, subject=None, ends=("b1", "b2")):
@@ -80,7 +80,7 @@
     await hold(processes)
     fingerprint = make_subject().fingerprint
     holds = []
-    for number in range(model.MOST_PROBES):
+    for number in range(holding.MOST_PROBES):
         suspect = processes[0].table.find(fingerprint)
         holds.append(suspect.record.hold_s())
         await eventually(lambda suspect=suspect: suspect.held_for_s() == 0.0)
--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -11,7 +11,7 @@
 
 from crankseam.cli.main import main
 from crankseam.identifiers import new_dated_id
-from crankseam.quarantine import model
+from crankseam.quarantine import holding
 from tests.support.harness import eventually, running_cluster
 
 DEADLY = b"ends its server"
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 async def cluster(monkeypatch):
-    monkeypatch.setattr(model, "FIRST_HOLD_S", FIRST_HOLD_S)
+    monkeypatch.setattr(holding, "FIRST_HOLD_S", FIRST_HOLD_S)
     async with running_cluster() as running:
         platform = running.platform
         running.revived = [
@@ -134,7 +134,7 @@
         number += 1
         await send(session, cluster.url(number % 3))
         await asyncio.sleep(0.05)
-    assert 3 <= len(ends(cluster)) <= 2 + model.MOST_PROBES
+    assert 3 <= len(ends(cluster)) <= 2 + holding.MOST_PROBES
 
 
 async def test_an_operator_sees_it_and_releases_it(cluster, session, capsys):
--- a/tests/rollout/test_generation.py
+++ b/tests/rollout/test_generation.py
@@ -8,7 +8,7 @@
 from crankseam.cluster.digest import DigestTable
 from crankseam.config.kinds import BackEnd, SamplerPool, Trainer
 from crankseam.peers.messages import CompletionOutcome
-from crankseam.quarantine import model, trial
+from crankseam.quarantine import holding
 from crankseam.rollout import generation
 from crankseam.rollout.generation import GenerationTarget, SampleGenerator, SampleJob
 from crankseam.rollout.messages import SampleRequest
@@ -66,7 +66,7 @@
 
     monkeypatch.setattr(generation, "refuses_connections", refuses)
     monkeypatch.setattr("crankseam.routing.CONNECTION_FAILURE_S", 0.0)
-    monkeypatch.setattr(trial, "PROBE_RETRY_S", 0.02)
+    monkeypatch.setattr(holding, "PROBE_RETRY_S", 0.02)
     made = await Process(MemoryStore()).ready()
     yield made
     await made.stop()
@@ -83,7 +83,7 @@
 
 
 async def test_three_ends_without_a_token_hold_it_until_a_probe(process, monkeypatch):
-    monkeypatch.setattr(model, "FIRST_HOLD_S", 0.3)
+    monkeypatch.setattr(holding, "FIRST_HOLD_S", 0.3)
     executors = ScriptedExecutors([ENDS] * 3)
     running = asyncio.create_task(generate(process, executors))
     await asyncio.sleep(0.2)
