--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from crankseam.jobs.move_wishes import MoveWish, MoveWishes
-from crankseam.jobs.places import MemoryFinder, PlacementRound, PlaceNeed, PlaceRequest
+from crankseam.jobs.places import AssignmentRound, MemoryFinder, PlaceNeed, PlaceRequest
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.engine_memory import NOTHING, RunSize
 from crankseam.serving.paces import SLOW_FACTOR, SamplerPaces
@@ -91,7 +91,7 @@
 
     def _give_places(self) -> None:
         self._wishes.give()
-        round_ = PlacementRound(self._registry, self.paces, self._zone, self._memory_of)
+        round_ = AssignmentRound(self._registry, self.paces, self._zone, self._memory_of)
         left: list[PlaceRequest] = []
         while self._waiting:
             request = heapq.heappop(self._waiting)
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -1,4 +1,16 @@
-"""Which sampler each waiting item gets, worked out for many items at once."""
+"""Which sampler gets a waiting item: of those with room that may serve it, the one of the smallest
+cost.
+
+Inputs: each sampler's load (own requests, and others' by a report of at most 1.5 s), pace, weight
+version, zone and memory, as this process believes them at the moment of the round; the item's need.
+Rule: a sampler that is avoided, full for this kind of item or of an unsuitable version is no
+candidate. The rest is ordered by `Cost`, its first field that differs. The sampler that the item
+just left is taken only when there is no other.
+Protects: a step's longest items from slow, soon loading or overfull samplers; all others from a
+queue at one sampler.
+Shown by: `item_sent`, `scoring_sent` (the load in `reason`). Held by: tests/jobs/test_places.py,
+test_dispatcher.py.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +21,15 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.engine_memory import NOTHING, EngineMemory, RunSize
 from crankseam.serving.paces import SamplerPaces
 
 DEFAULT_SLOTS = 8
+"""Requests that a sampler works on at the same time if discovery does not tell; origin not
+recorded."""
 
 
 def slots_of(back_end: BackEnd) -> int:
@@ -67,18 +82,65 @@
     place: asyncio.Future[BackEnd] = field(compare=False)
 
 
-Cost = tuple[bool, bool, int, int, float, bool, float]
-"""Turned slow, lacks memory, class of pace, weight versions behind, load, in another zone, a
-lot."""
+class Cost(NamedTuple):
+    """How little a sampler suits an item: compared field by field, in this order.
+
+    Attributes
+    ==========
+
+    turned_slow : its events take much longer now than those of the service's others.
+    lacks_memory : the item's run would not fit until its end beside those that are there.
+    pace_class : by how many classes of pace it is slower than the fastest; 0 for an item that is
+        not long.
+    versions_behind : behind the newest weight version, so that it loads soon; 0 for an item that
+        is not long.
+    load : requests that are expected there.
+    in_other_zone : not in this process's zone.
+    tie_break : random, so that processes that know the same do not all choose the same one.
+    """
+
+    turned_slow: bool
+    lacks_memory: bool
+    pace_class: int
+    versions_behind: int
+    load: float
+    in_other_zone: bool
+    tie_break: float
+
+
+class _Kind(NamedTuple):
+    """Items for which all samplers cost the same."""
+
+    service: str
+    model: str
+    min_version: int
+    is_long: bool
+    slots_share: float
+    only_version: int
+    size_step: int
+
+
 MemoryFinder = Callable[[str], EngineMemory | None]
 """The memory of a service's samplers; None if that is not known."""
 SIZE_STEP_EVENTS = 16
-"""Runs whose sizes differ by less than this are placed alike."""
+"""Runs whose events differ by less than this are placed alike: a queue is worked out for each
+kind, and an event adds little memory. Origin of the figure not recorded."""
 
 
 class _Queue:
     """Samplers that may run one kind of item, the best first.
 
+    Parameters
+    ==========
+
+    classes : class of pace by sampler.
+    behind : weight versions behind the newest by sampler.
+    slow : samplers that turned slow.
+    slots_share : see PlaceNeed.
+    size : of the first such run; those of the others are close.
+    memory : of each sampler; None if that is not known or does not count.
+    now : monotonic time of the round.
+
     Loads only grow while places are given, so a cost that is out of date is too low: the sampler
     is put back with its new one when it comes up.
     """
@@ -92,6 +154,8 @@
         slots_share: float,
         size: RunSize,
         memory: EngineMemory | None,
+        zone: str,
+        now: float,
     ) -> None:
         self._size = size
         self._memory = memory
@@ -99,27 +163,23 @@
         self._classes = classes
         self._behind = behind
         self._slow = slow
+        self._zone = zone
+        self._now = now
         self._numbers = itertools.count()
-        self._heap: list[tuple[Cost, int, BackEnd]] = []
-        self._lots = {one.record.id: random.random() for one in back_ends}
-        self._back_ends = back_ends
-
-    def fill(self, zone: str, now: float) -> None:
-        """Work out all costs."""
-        self._zone, self._now = zone, now
-        self._heap = [(self._cost(one), next(self._numbers), one) for one in self._back_ends]
+        self._tie_breaks = {one.record.id: random.random() for one in back_ends}
+        self._heap = [(self._cost(one), next(self._numbers), one) for one in back_ends]
         heapq.heapify(self._heap)
 
     def _cost(self, back_end: BackEnd) -> Cost:
         key = back_end.record.id
-        return (
-            key in self._slow,
-            self._lacks_memory(back_end),
-            self._classes.get(key, 0),
-            self._behind.get(key, 0),
-            back_end.expected_load(self._now),
-            back_end.record.zone != self._zone,
-            self._lots[key],
+        return Cost(
+            turned_slow=key in self._slow,
+            lacks_memory=self._lacks_memory(back_end),
+            pace_class=self._classes.get(key, 0),
+            versions_behind=self._behind.get(key, 0),
+            load=back_end.expected_load(self._now),
+            in_other_zone=back_end.record.zone != self._zone,
+            tie_break=self._tie_breaks[key],
         )
 
     def _lacks_memory(self, back_end: BackEnd) -> bool:
@@ -153,8 +213,8 @@
         return found
 
 
-class PlacementRound:
-    """Gives places to many items at one moment.
+class AssignmentRound:
+    """Assigns places to many items at one moment.
 
     Parameters
     ==========
@@ -174,13 +234,13 @@
         self._paces = paces
         self._zone = zone
         self._now = time.monotonic()
-        self._queues: dict[tuple[str, str, int, bool, float, int, int], _Queue] = {}
+        self._queues: dict[_Kind, _Queue] = {}
         self._slow: dict[str, set[str]] = {}
 
     def take(self, request: PlaceRequest) -> BackEnd | None:
         """The sampler for a request; None while there is no room."""
         need = request.need
-        alike = (
+        kind = _Kind(
             request.service,
             need.model,
             need.min_version,
@@ -189,9 +249,9 @@
             request.only_version,
             need.size.events // SIZE_STEP_EVENTS,
         )
-        queue = self._queues.get(alike)
+        queue = self._queues.get(kind)
         if queue is None:
-            queue = self._queues[alike] = self._make_queue(request)
+            queue = self._queues[kind] = self._make_queue(request)
         return queue.best(need.avoided)
 
     def _make_queue(self, request: PlaceRequest) -> _Queue:
@@ -207,18 +267,17 @@
         ]
         classes = self._paces.classes(candidates) if need.is_long else {}
         behind = _versions_behind(candidates, need.model) if need.is_long else {}
-        slow = self._slow[request.service]
-        queue = _Queue(
+        return _Queue(
             candidates,
             classes,
             behind,
-            slow,
+            self._slow[request.service],
             need.slots_share,
             need.size,
             self._memory_of(request.service) if need.item else None,
+            self._zone,
+            self._now,
         )
-        queue.fill(self._zone, self._now)
-        return queue
 
 
 def _versions_behind(back_ends: list[BackEnd], model: str) -> dict[str, int]:
