--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -5,31 +5,14 @@
 import asyncio
 import heapq
 import itertools
-from dataclasses import dataclass
 
-from crankseam.jobs.move_wishes import MoveWish, MoveWishes
+from crankseam.jobs.migration import longest_pace_s
+from crankseam.jobs.migration_requests import MigrationRequest, MigrationRequests
 from crankseam.jobs.places import AssignmentRound, MemoryFinder, PlaceNeed, PlaceRequest
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
-from crankseam.serving.engine_memory import NOTHING, RunSize
-from crankseam.serving.paces import SLOW_FACTOR, SamplerPaces
+from crankseam.serving.paces import SamplerPaces
 
 LOOK_AGAIN_SECONDS = 0.05
-LONG_RUN_SLOW_FACTOR = 1.2
-"""Long runs, which the step waits for, leave for a sampler that is faster by this."""
-
-
-@dataclass(frozen=True, slots=True)
-class MoveNeed:
-    """What a run that would move needs; `events` is how many it has made."""
-
-    model: str
-    min_version: int
-    is_long: bool
-    events: int
-    only_version: int = 0
-    """See PlaceRequest."""
-    item: str = ""
-    size: RunSize = NOTHING
 
 
 class Dispatcher:
@@ -55,7 +38,7 @@
         self._numbers = itertools.count()
         self._wake = asyncio.Event()
         self.paces = paces if paces is not None else SamplerPaces()
-        self._wishes = MoveWishes(registry, self.paces, memory_of)
+        self._migrations = MigrationRequests(registry, self.paces, memory_of)
         registry.on_change.append(self._wake.set)
 
     async def run(self) -> None:
@@ -90,7 +73,7 @@
         self._wake.set()
 
     def _give_places(self) -> None:
-        self._wishes.give()
+        self._migrations.grant_all()
         round_ = AssignmentRound(self._registry, self.paces, self._zone, self._memory_of)
         left: list[PlaceRequest] = []
         while self._waiting:
@@ -111,46 +94,40 @@
         """Whether a back end of this id is in discovery."""
         return self._registry.by_id(back_end_id) is not None
 
-    # --- moves
+    # --- migrations
 
-    def wish_to_move(
-        self, wish: MoveWish | None, back_end: BackEnd, need: MoveNeed
-    ) -> MoveWish | None:
-        """Ask for a place at a much faster sampler, for a long run at a faster one.
+    def request_migration(
+        self,
+        request: MigrationRequest | None,
+        back_end: BackEnd,
+        need: PlaceNeed,
+        only_version: int = 0,
+    ) -> MigrationRequest | None:
+        """Ask for a place at a sampler that is faster, as migration.py has it.
 
         The paces of others must be known: an unknown one is no promise.
 
         Parameters
         ==========
 
-        wish : the run's wish so far, which is brought up to date.
+        request : the run's request so far, which is brought up to date.
         back_end : where the run is now.
+        need : of the run as it is now; `size` tells how many events it has made.
+        only_version : see PlaceRequest; as it was when the run asked first.
         """
         steady_s, recent_s = self.paces.steady_s(back_end), self.paces.recent_s(back_end)
         if steady_s is None or recent_s is None:
-            return wish
-        faster_than_s = recent_s / SLOW_FACTOR
-        if need.is_long:
-            faster_than_s = max(faster_than_s, steady_s / LONG_RUN_SLOW_FACTOR)
-        if wish is None:
-            service = back_end.record.service
-            wish = MoveWish(
-                service,
-                need.model,
-                need.min_version,
-                need.only_version,
-                faster_than_s,
-                need.events,
-                need.item,
-                need.size,
-            )
-        wish.faster_than_s, wish.events, wish.size = faster_than_s, need.events, need.size
-        self._wishes.put(wish)
-        return wish
-
-    def end_wish(self, wish: MoveWish) -> BackEnd | None:
-        """End a wish; the place that it was granted must be released by the caller."""
-        return self._wishes.withdraw(wish)
+            return request
+        pace_s = longest_pace_s(steady_s, recent_s, need.is_long)
+        if request is None:
+            request = MigrationRequest(back_end.record.service, need, only_version, pace_s)
+        request.need, request.longest_pace_s = need, pace_s
+        self._migrations.put(request)
+        return request
+
+    def end_migration(self, request: MigrationRequest) -> BackEnd | None:
+        """End a request; the place that it was granted must be released by the caller."""
+        return self._migrations.withdraw(request)
 
     def is_carried(self, service: str, model: str, version: int) -> bool:
         """Whether a sampler of a service carries this very version of a model."""
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -11,8 +11,10 @@
 from functools import partial
 from typing import Protocol
 
-from crankseam.jobs.dispatcher import Dispatcher, MoveNeed
+from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ItemFailed, ItemImpossible
+from crankseam.jobs.migration import MigrationTimer
+from crankseam.jobs.migration_requests import MigrationRequest
 from crankseam.jobs.model import (
     GeneratedEvent,
     ItemDefinition,
@@ -20,7 +22,6 @@
     JobDefinition,
     PartialText,
 )
-from crankseam.jobs.move_wishes import MoveWish
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_place import routed_place
 from crankseam.quarantine.crash_guard import CrashGuard
@@ -39,11 +40,6 @@
 NEXT_EVENT_SECONDS = 0.3
 """Longest silence between two events before the run goes on elsewhere; it doubles each time."""
 LONGEST_SILENCE_SECONDS = 2.5
-MOVE_COOLDOWN_SECONDS = 1.0
-"""A run that was moved stays for this long, so that two samplers do not pass it to and fro."""
-TURNED_AWAY_COOLDOWN_S = 0.4
-MOVE_LOOK_S = 0.1
-"""How often a run looks for a faster sampler."""
 WARM_UP_S = 0.2
 """Right after its first event a run waits for others' prompts; that says nothing of the pace."""
 LONG_RUN_EVENTS = 12
@@ -85,8 +81,8 @@
     return TrialSubject(item.id, job.tenant, "", "POST", job.host, item.path, item.body)
 
 
-class _MoveAway(Exception):
-    """The sampler is slow and another one has room."""
+class _Migrate(Exception):
+    """The sampler is slow and a place at a faster one was granted."""
 
 
 @dataclass(frozen=True)
@@ -139,10 +135,9 @@
         self._created_at = time.monotonic()
         self._failures = 0
         self._silences = 0
-        self._moved_at = float("-inf")
-        self._look_again_at = float("-inf")
+        self._migration_timer = MigrationTimer()
         self._avoided = ""
-        self._wish: MoveWish | None = None
+        self._migration: MigrationRequest | None = None
         self._single_version = False
         self.held_s = 0.0
         """How long it held places so far."""
@@ -153,7 +148,7 @@
             return await self._run()
         finally:
             self._trial.abandon()
-            unused = self._end_wish()
+            unused = self._end_migration()
             if unused is not None:
                 self._dispatcher.release(unused, self.item.id)
 
@@ -177,7 +172,7 @@
                 self.held_s += time.monotonic() - placed_at
             if result is not None:
                 return result
-            reserved = self._end_wish()
+            reserved = self._end_migration()
 
     def _text_version(self) -> int:
         """The one version that may go on with the text; 0 if any may."""
@@ -219,10 +214,10 @@
         """What part of a sampler's slots this run may fill."""
         return 1.0 if self.kept.events or self._is_long() else FRESH_SLOTS_SHARE
 
-    def _end_wish(self) -> BackEnd | None:
-        """End the wish to move; the place that it was granted, if it was."""
-        wish, self._wish = self._wish, None
-        return self._dispatcher.end_wish(wish) if wish is not None else None
+    def _end_migration(self) -> BackEnd | None:
+        """End the request to move; the place that it was granted, if it was."""
+        request, self._migration = self._migration, None
+        return self._dispatcher.end_migration(request) if request is not None else None
 
     def _is_long(self) -> bool:
         """Whether the step is likely to wait for this item."""
@@ -239,9 +234,7 @@
         except AttemptNotRun as refusal:
             pause = LOADING_PAUSE_SECONDS if refusal.had_room else FULL_PAUSE_SECONDS
             back_end.was_full(pause)
-            # Nothing was gained by a move that was turned away: the next one may come soon.
-            soon = time.monotonic() - MOVE_COOLDOWN_SECONDS + TURNED_AWAY_COOLDOWN_S
-            self._moved_at = min(self._moved_at, soon)
+            self._migration_timer.rejected(time.monotonic())
             self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause} s")
             return None
         except AttemptBroken as failure:
@@ -251,7 +244,7 @@
             self._trial.report_if_held()
             await asyncio.sleep(BROKEN_PAUSE_SECONDS)
             return None
-        except _MoveAway:
+        except _Migrate:
             self._avoided = back_end.record.id
             self._log("item_moved", back_end, "slow")
             return None
@@ -326,7 +319,7 @@
                 self._take(event)
                 back_end.runs[self.item.id] = self._size()
                 if now >= steady_at:
-                    self._move_if_slow(back_end)
+                    self._migrate_if_slow(back_end)
 
     def _take(self, event: GeneratedEvent) -> None:
         if event.number != len(self.kept.events) + 1:
@@ -340,22 +333,14 @@
         self.kept.take(event)
         self._trial.progressed()
 
-    def _move_if_slow(self, back_end: BackEnd) -> None:
+    def _migrate_if_slow(self, back_end: BackEnd) -> None:
         now = time.monotonic()
-        if now - self._moved_at < MOVE_COOLDOWN_SECONDS:
+        if not self._migration_timer.may_move(now):
             return
-        if now >= self._look_again_at:
-            self._look_again_at = now + MOVE_LOOK_S
-            need = MoveNeed(
-                self.job.model,
-                self.job.min_version,
-                self._is_long(),
-                len(self.kept.events),
-                self._text_version(),
-                self.item.id,
-                self._size(),
+        if self._migration_timer.is_look_due(now):
+            self._migration = self._dispatcher.request_migration(
+                self._migration, back_end, self._need(), self._text_version()
             )
-            self._wish = self._dispatcher.wish_to_move(self._wish, back_end, need)
-        if self._wish is not None and self._wish.granted is not None:
-            self._moved_at = now
-            raise _MoveAway
+        if self._migration is not None and self._migration.granted is not None:
+            self._migration_timer.moved(now)
+            raise _Migrate
--- a/tests/jobs/test_dispatcher.py
+++ b/tests/jobs/test_dispatcher.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from crankseam.jobs.dispatcher import Dispatcher, MoveNeed
+from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.places import PlaceNeed
 from crankseam.serving.back_ends import BackEndRecord, BackEndRegistry
 from crankseam.serving.engine_memory import EngineMemory, RunSize
@@ -9,6 +9,11 @@
 from tests.support.waiting import eventually
 
 
+def run_need(is_long, events):
+    """What a run of so many events needs."""
+    return PlaceNeed((0.0,), "m", 1, is_long=is_long, size=RunSize(0, events))
+
+
 async def test_long_items_go_to_the_fastest_samplers_and_others_to_the_least_loaded():
     registry = BackEndRegistry()
     for name in ("fast", "slower"):
@@ -38,12 +43,12 @@
     dispatcher = Dispatcher(registry, "z")
     dispatcher.paces.seen(fast, 0.050)
     dispatcher.paces.seen(slower, 0.066)
-    long_need, short_need = MoveNeed("m", 1, True, 20), MoveNeed("m", 1, False, 20)
-    wish = dispatcher.wish_to_move(None, slower, long_need)
-    assert wish.granted is fast and fast.in_flight == 1
-    dispatcher.release(dispatcher.end_wish(wish))
-    wish = dispatcher.wish_to_move(None, slower, short_need)
-    assert wish.granted is None and dispatcher.end_wish(wish) is None, "not that slow"
+    long_need, short_need = run_need(True, 20), run_need(False, 20)
+    request = dispatcher.request_migration(None, slower, long_need)
+    assert request.granted is fast and fast.in_flight == 1
+    dispatcher.release(dispatcher.end_migration(request))
+    request = dispatcher.request_migration(None, slower, short_need)
+    assert request.granted is None and dispatcher.end_migration(request) is None, "not that slow"
     assert fast.in_flight == 0
 
 
@@ -56,14 +61,14 @@
     dispatcher = Dispatcher(registry, "z")
     dispatcher.paces.seen(fast, 0.050)
     dispatcher.paces.seen(slow, 0.066)
-    wishes = [
-        dispatcher.wish_to_move(None, slow, MoveNeed("m", 1, True, count)) for count in (20, 90, 50)
+    requests = [
+        dispatcher.request_migration(None, slow, run_need(True, count)) for count in (20, 90, 50)
     ]
     giving = asyncio.create_task(dispatcher.run())
     try:
         dispatcher.release(fast)
-        await eventually(lambda: wishes[1].granted is fast)
-        assert wishes[0].granted is None and wishes[2].granted is None
+        await eventually(lambda: requests[1].granted is fast)
+        assert requests[0].granted is None and requests[2].granted is None
     finally:
         giving.cancel()
 
@@ -133,9 +138,9 @@
         paces.seen(fast, 0.05)
     fast.runs, fast.in_flight = {"a": RunSize(250, 60)}, 1
     dispatcher = with_memory(registry, paces)
-    need = MoveNeed("m", 1, True, 30, item="b", size=RunSize(250, 30))
-    wish = dispatcher.wish_to_move(None, slow, need)
-    assert wish is not None and wish.granted is None
+    need = PlaceNeed((0.0,), "m", 1, is_long=True, item="b", size=RunSize(250, 30))
+    request = dispatcher.request_migration(None, slow, need)
+    assert request is not None and request.granted is None
     fast.runs.clear()
-    dispatcher.wish_to_move(wish, slow, need)
-    assert wish.granted is fast and fast.runs["b"] == RunSize(250, 30)
+    dispatcher.request_migration(request, slow, need)
+    assert request.granted is fast and fast.runs["b"] == RunSize(250, 30)
--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -4,10 +4,11 @@
 import pytest
 
 from crankseam.jobs import item_run
-from crankseam.jobs.dispatcher import Dispatcher, MoveNeed
+from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ItemFailed, ItemImpossible
 from crankseam.jobs.model import PartialText
 from crankseam.jobs.places import PlaceNeed
+from crankseam.serving.engine_memory import RunSize
 from crankseam.serving.messages import AttemptNotRun
 from crankseam.serving.paces import SamplerPaces
 from tests.jobs.factories import (
@@ -114,9 +115,9 @@
 
 def granted(dispatcher, back_end, min_version=0, is_long=False):
     """The sampler to which a run would move right now; its place is released again."""
-    need = MoveNeed("m", min_version, is_long, events=20)
-    wish = dispatcher.wish_to_move(None, back_end, need)
-    place = dispatcher.end_wish(wish) if wish is not None else None
+    need = PlaceNeed((0.0,), "m", min_version, is_long=is_long, size=RunSize(0, 20))
+    request = dispatcher.request_migration(None, back_end, need)
+    place = dispatcher.end_migration(request) if request is not None else None
     if place is not None:
         dispatcher.release(place)
     return place
@@ -165,7 +166,7 @@
 ):
     """Until the burst of a step is over, every place that gets free was another item's."""
     monkeypatch.setattr("crankseam.jobs.item_run.WARM_UP_S", 0.0)
-    monkeypatch.setattr("crankseam.jobs.item_run.MOVE_LOOK_S", 0.0)
+    monkeypatch.setattr("crankseam.jobs.migration.LOOK_S", 0.0)
     registry = make_registry(2)
     slow, fast = registry.of_service("llm")
     slow.in_flight, fast.in_flight = 3, 4
@@ -256,7 +257,7 @@
     samplers, monkeypatch
 ):
     monkeypatch.setattr("crankseam.jobs.item_run.WARM_UP_S", 0.0)
-    monkeypatch.setattr("crankseam.jobs.item_run.MOVE_LOOK_S", 0.0)
+    monkeypatch.setattr("crankseam.jobs.migration.LOOK_S", 0.0)
     registry = registry_of_versions(1, 2)
     leaving, _ = registry.of_service("llm")
     samplers.scripts = [[*events(1, 3, 1), 0.1, *events(4, 5, 1)]]
