--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -6,14 +6,12 @@
 
 import msgspec
 
+from crankseam.jobs.item_retry import DEFAULT_ATTEMPTS, DEFAULT_QUEUE_S
 from crankseam.jobs.item_run import ItemRun, RunParts, whole_result
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.scoring import ItemScorer
 
-DEFAULT_QUEUE_S = 60.0
-DEFAULT_ATTEMPTS = 1
-
 
 class ItemMaker:
     """What all items of a process's jobs are made with.
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -13,6 +13,13 @@
 
 from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ItemFailed, ItemImpossible
+from crankseam.jobs.item_retry import (
+    BROKEN_PAUSE_S,
+    FIRST_EVENT_S,
+    LONGEST_ATTEMPT_S,
+    next_event_s,
+    rejected_pause_s,
+)
 from crankseam.jobs.migration import MigrationTimer
 from crankseam.jobs.migration_requests import MigrationRequest
 from crankseam.jobs.model import (
@@ -24,6 +31,7 @@
 )
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_place import routed_place
+from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
 from crankseam.quarantine.model import TrialSubject
@@ -35,23 +43,9 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_EVENT_SECONDS = 2.5
-"""Longest wait for the first event of an attempt: the item may wait in the sampler's queue."""
-NEXT_EVENT_SECONDS = 0.3
-"""Longest silence between two events before the run goes on elsewhere; it doubles each time."""
-LONGEST_SILENCE_SECONDS = 2.5
 WARM_UP_S = 0.2
-"""Right after its first event a run waits for others' prompts; that says nothing of the pace."""
-LONG_RUN_EVENTS = 12
-"""A run of more events is likely to be among those that the step waits for."""
-FRESH_SLOTS_SHARE = 0.84
-"""Items that have not begun leave the other slots to runs that were broken off, and to long ones:
-those are what a step waits for, and would else wait for a short one's end."""
-FULL_PAUSE_SECONDS = 0.05
-LOADING_PAUSE_SECONDS = 0.3
-"""A sampler that had room but turned an item away loads a version."""
-BROKEN_PAUSE_SECONDS = 0.02
-LONGEST_ATTEMPT_SECONDS = 60.0
+"""Right after its first event a run waits for others' prompts; that says nothing of the pace.
+Origin not recorded."""
 
 RouteFinder = Callable[[JobDefinition], Route | None]
 
@@ -202,7 +196,7 @@
             self.job.min_version,
             self._avoided,
             self._is_long(),
-            self._slots_share(),
+            slots_share(bool(self.kept.events), self._is_long()),
             self.item.id,
             self._size(),
         )
@@ -210,10 +204,6 @@
     def _size(self) -> RunSize:
         return RunSize(self.item.prompt_tokens, len(self.kept.events), self.item.tokens)
 
-    def _slots_share(self) -> float:
-        """What part of a sampler's slots this run may fill."""
-        return 1.0 if self.kept.events or self._is_long() else FRESH_SLOTS_SHARE
-
     def _end_migration(self) -> BackEnd | None:
         """End the request to move; the place that it was granted, if it was."""
         request, self._migration = self._migration, None
@@ -221,7 +211,7 @@
 
     def _is_long(self) -> bool:
         """Whether the step is likely to wait for this item."""
-        return self._is_expected_long or len(self.kept.events) >= LONG_RUN_EVENTS
+        return self._is_expected_long or is_long_run(len(self.kept.events))
 
     async def _attempt(self, back_end: BackEnd, route: Route) -> ItemResult | None:
         """One attempt; None when the item must go on."""
@@ -232,17 +222,17 @@
             with self._trial.sending() as send:
                 await self._send(back_end, send)
         except AttemptNotRun as refusal:
-            pause = LOADING_PAUSE_SECONDS if refusal.had_room else FULL_PAUSE_SECONDS
-            back_end.was_full(pause)
+            pause_s = rejected_pause_s(refusal.had_room)
+            back_end.was_full(pause_s)
             self._migration_timer.rejected(time.monotonic())
-            self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause} s")
+            self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause_s} s")
             return None
         except AttemptBroken as failure:
             back_end.failed()
             self._avoided = back_end.record.id
             self._log("item_broken", back_end, failure.reason)
             self._trial.report_if_held()
-            await asyncio.sleep(BROKEN_PAUSE_SECONDS)
+            await asyncio.sleep(BROKEN_PAUSE_S)
             return None
         except _Migrate:
             self._avoided = back_end.record.id
@@ -293,21 +283,19 @@
     async def _generate(self, back_end: BackEnd) -> None:
         """Take events until the generation is whole."""
         after = len(self.kept.events)
-        stream = self._client.generate(
-            back_end, self.job, self.item, after, LONGEST_ATTEMPT_SECONDS
-        )
+        stream = self._client.generate(back_end, self.job, self.item, after, LONGEST_ATTEMPT_S)
         last_at: float | None = None
         steady_at = float("inf")
-        next_event_seconds = min(LONGEST_SILENCE_SECONDS, NEXT_EVENT_SECONDS * 2.0**self._silences)
+        longest_silence_s = next_event_s(self._silences)
         async with aclosing(stream) as events:
             while True:
-                patience = next_event_seconds if last_at is not None else FIRST_EVENT_SECONDS
+                patience_s = longest_silence_s if last_at is not None else FIRST_EVENT_S
                 try:
-                    async with asyncio.timeout(patience):
+                    async with asyncio.timeout(patience_s):
                         event = await anext(events, None)
                 except TimeoutError:
                     self._silences += 1
-                    raise AttemptBroken(f"no event for {patience} s") from None
+                    raise AttemptBroken(f"no event for {patience_s} s") from None
                 if event is None:
                     return
                 now = time.monotonic()
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-import statistics
 import time
 
 from crankseam import clocks
@@ -13,14 +12,14 @@
 from crankseam.jobs.carried import MadeTexts
 from crankseam.jobs.errors import ResultsConflict
 from crankseam.jobs.item_maker import ItemMaker
+from crankseam.jobs.item_retry import give_up_at
 from crankseam.jobs.listing_moments import ListingMoments
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.repository import JobRepository, fitting_one_chunk
+from crankseam.jobs.urgency import long_hint, rank_of
 
 log = logging.getLogger(__name__)
 
-SAME_TIME_SECONDS = 2.0
-"""Jobs that began within this time share the samplers item by item."""
 UNCERTAIN_S = 0.4
 """A listing without an answer may have taken effect; after this its runner no longer knows what
 readers of the store have seen."""
@@ -30,9 +29,6 @@
 RETRY_CAP_SECONDS = 0.5
 SAVE_INTERVAL_SECONDS = 0.8
 RESTART_PAUSE_SECONDS = 0.5
-GIVE_UP_MARGIN_SECONDS = 2.0
-LONG_FACTOR = 1.5
-"""An item whose hint is this much above its job's median is a long one."""
 
 
 class JobRunner:
@@ -64,8 +60,7 @@
         self.results: list[ItemResult] = [result for chunk in listed for result in chunk]
         self._listed_ids = {result.id for result in self.results}
         self._kept = {item.id: kept.get(item.id) or PartialText() for item in job.items}
-        hints = [item.length_hint for item in job.items if item.length_hint]
-        self._long_hint = LONG_FACTOR * statistics.median(hints) if hints else float("inf")
+        self._long_hint = long_hint(job)
         self._saved_events = 0
         self._pending: list[ItemResult] = []
         self._group_of = {item.id: item.group for item in job.items}
@@ -184,13 +179,11 @@
         return MadeTexts(finished, partial)
 
     async def _result_of(self, index: int, item: ItemDefinition) -> ItemResult:
-        begun = self._started_at // SAME_TIME_SECONDS
-        rank = (float(self.job.priority), begun, -float(item.length_hint), float(index))
+        rank = rank_of(self.job, self._started_at, item, index)
         is_long = item.length_hint > self._long_hint
-        longest_queue_s = self._maker.longest_queue_s(self.job)
-        limit = self._started_at + longest_queue_s + GIVE_UP_MARGIN_SECONDS - time.monotonic()
+        end_at = give_up_at(self._started_at, self._maker.longest_queue_s(self.job))
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(end_at - time.monotonic()):
                 return await self._maker.make(self.job, item, rank, self._kept[item.id], is_long)
         except TimeoutError:
             log.warning("item_given_up", extra={"job": self.job.id, "item": item.id})
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -17,9 +17,17 @@
 from crankseam.backoff import Backoff
 from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ScoringFailed
+from crankseam.jobs.item_retry import (
+    SCORING_REJECTED_PAUSE_S,
+    SCORING_RETRY_BASE_S,
+    SCORING_RETRY_CAP_S,
+    most_scoring_failures,
+    scoring_patience_s,
+)
 from crankseam.jobs.model import ItemDefinition, JobDefinition, ScoringRequest
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_place import routed_place
+from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
 from crankseam.quarantine.model import TrialSubject
@@ -31,18 +39,6 @@
 
 log = logging.getLogger(__name__)
 
-SCORING_SLOTS_SHARE = 0.5
-"""Of a back end's slots, scoring requests fill so many at most: callers' requests use the same
-back ends and find the other half free, whatever burst of items ends at once."""
-PATIENCE_TARGETS = 3.0
-"""A back end has so many times the route's target latency to answer, and twice as long after each
-silence, up to the route's timeout: an answer that was lost is soon asked for elsewhere."""
-SHORTEST_PATIENCE_S = 0.5
-RETRY_BASE_S = 0.02
-RETRY_CAP_S = 0.5
-TURNED_AWAY_PAUSE_S = 0.1
-"""A back end that turned a scoring request away is left to callers for so long."""
-
 ScoringRouteFinder = Callable[[ScoringRequest], Route | None]
 
 
@@ -128,7 +124,7 @@
                 score = await run.attempt(route, back_end)
             if score is not None:
                 return score
-            if run.may_give_up(max(route.max_attempts, job_attempts), back_end):
+            if run.may_give_up(most_scoring_failures(route, job_attempts), back_end):
                 return None
             await asyncio.sleep(run.backoff.next_delay())
 
@@ -155,11 +151,11 @@
         self._started_at = time.monotonic()
         self.avoided = ""
         """Id of the back end that was asked last."""
-        self.backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
+        self.backoff = Backoff(SCORING_RETRY_BASE_S, SCORING_RETRY_CAP_S)
 
     async def attempt(self, route: Route, back_end: BackEnd) -> str | None:
         """One call; None when it gave no score."""
-        patience_s = self._patience_s(route)
+        patience_s = scoring_patience_s(route, self._silences)
         self.avoided = back_end.record.id
         self._log("scoring_sent", back_end, f"patience {patience_s:.2f} s")
         try:
@@ -167,7 +163,7 @@
                 with self.trial.sending() as send:
                     score = await self._send(back_end, clocks.promised_s() + patience_s, send)
         except AttemptNotRun as refusal:
-            back_end.was_full(TURNED_AWAY_PAUSE_S)
+            back_end.was_full(SCORING_REJECTED_PAUSE_S)
             if refusal.wrong_instance:
                 back_end.failed()
             self._log("scoring_turned_away", back_end, refusal.reason)
@@ -211,11 +207,6 @@
         self._log("scoring_given_up", back_end, f"failure {self._failures}")
         return True
 
-    def _patience_s(self, route: Route) -> float:
-        """How long the next back end has to answer."""
-        first_s = max(SHORTEST_PATIENCE_S, PATIENCE_TARGETS * route.target_latency)
-        return min(route.timeout, first_s * 2.0**self._silences)
-
     def _log(self, event: str, back_end: BackEnd, reason: str) -> None:
         log.info(
             event,
--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from crankseam.jobs import item_run
+from crankseam.jobs import item_retry
 from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ItemFailed, ItemImpossible
 from crankseam.jobs.model import PartialText
@@ -96,7 +96,7 @@
 
 
 async def test_a_silent_sampler_is_left(samplers, monkeypatch):
-    monkeypatch.setattr(item_run, "NEXT_EVENT_SECONDS", 0.05)
+    monkeypatch.setattr(item_retry, "NEXT_EVENT_S", 0.05)
     samplers.scripts = [[*events(1, 1), 60.0], events(2, 2)]
     result = await run_item(samplers)
     assert result.text == "e1\ne2"
--- /dev/null
+++ b/tests/jobs/test_urgency.py
@@ -0,0 +1,66 @@
+"""The order of waiting items by itself."""
+
+import math
+
+import msgspec
+import pytest
+
+from crankseam.jobs.urgency import (
+    FRESH_SLOTS_SHARE,
+    LONG_FACTOR,
+    LONG_RUN_EVENTS,
+    SAME_TIME_S,
+    is_long_run,
+    long_hint,
+    rank_of,
+    slots_share,
+)
+from tests.jobs.factories import make_job
+
+
+def job_with(hints, priority=5):
+    job = make_job(items=len(hints))
+    items = [
+        msgspec.structs.replace(item, length_hint=hint)
+        for item, hint in zip(job.items, hints, strict=True)
+    ]
+    return msgspec.structs.replace(job, items=items, priority=priority)
+
+
+def ranks(job, started_at):
+    return [rank_of(job, started_at, item, index) for index, item in enumerate(job.items)]
+
+
+def test_the_longer_hint_goes_first_and_equal_ones_in_order():
+    first, long_one, last = ranks(job_with([10, 90, 10]), 100.0)
+    assert long_one < first < last
+
+
+def test_an_earlier_job_goes_first_unless_both_began_in_one_span():
+    early, late = job_with([10]), job_with([90])
+    start = 50 * SAME_TIME_S
+    assert ranks(late, start + SAME_TIME_S / 2) < ranks(early, start)
+    assert ranks(early, start) < ranks(late, start + SAME_TIME_S)
+
+
+def test_priority_goes_before_all():
+    urgent, other = job_with([1], priority=0), job_with([90], priority=1)
+    assert ranks(urgent, 1000.0) < ranks(other, 0.0)
+
+
+def test_an_item_is_expected_long_by_the_median_of_the_hints_that_were_told():
+    assert long_hint(job_with([0, 10, 20, 30])) == LONG_FACTOR * 20
+    assert long_hint(job_with([0, 0])) == math.inf
+
+
+def test_a_run_turns_out_long_by_its_events():
+    assert not is_long_run(LONG_RUN_EVENTS - 1)
+    assert is_long_run(LONG_RUN_EVENTS)
+
+
+@pytest.mark.parametrize(
+    ("has_begun", "is_long", "share"),
+    [(False, False, FRESH_SLOTS_SHARE), (True, False, 1.0), (False, True, 1.0)],
+)
+def test_items_that_have_not_begun_leave_slots_free_unless_they_are_long(has_begun, is_long, share):
+    assert slots_share(has_begun, is_long) == share
