--- a/src/crankseam/jobs/carried.py
+++ b/src/crankseam/jobs/earlier_outputs.py
@@ -1,7 +1,14 @@
-"""Texts of ended jobs, kept for items that come again in a later job.
+"""Which outputs of earlier jobs an item of a new job may use.
 
 A trainer that ends a step asks for the groups that were not whole once more, under the same ids.
-What was made of them need not be made again where its weight versions fit the later job.
+
+Inputs: outputs of the newest KEPT_JOBS jobs that ended in this process, in its memory alone; the
+new job's items and `min_version`; whether its route wants one weight version for a whole text.
+Rule: an item of the same id, body, model and tenant takes what the newest such job made of it, if
+each weight version that made it is known and new enough, and there is one only where the route
+wants that. A whole text whose scoring request changed is scored again, not made again.
+Protects: the samplers from making the same tokens twice.
+Shown by: `texts_carried`. Held by: tests/jobs/test_earlier_outputs.py.
 """
 
 from __future__ import annotations
@@ -12,12 +19,13 @@
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 
 KEPT_JOBS = 8
-"""Ended jobs whose texts a process keeps, the newest ones."""
+"""Ended jobs whose outputs a process keeps, the newest ones: some steps of each model. Origin not
+recorded."""
 
 
 @dataclass
-class MadeTexts:
-    """What was made of a job's items.
+class JobOutputs:
+    """What was made of a job's items so far.
 
     Attributes
     ==========
@@ -35,16 +43,16 @@
     model: str
     tenant: str
     items: dict[str, ItemDefinition]
-    texts: MadeTexts
+    texts: JobOutputs
 
 
-class CarriedTexts:
-    """Texts of the jobs that ended here lately."""
+class EarlierOutputs:
+    """Outputs of the jobs that ended here lately."""
 
     def __init__(self) -> None:
         self._ended: OrderedDict[str, _EndedJob] = OrderedDict()
 
-    def keep(self, job: JobDefinition, texts: MadeTexts) -> None:
+    def keep(self, job: JobDefinition, texts: JobOutputs) -> None:
         """Keep what was made of a job that ended."""
         self._ended[job.id] = _EndedJob(
             job.model, job.tenant, {item.id: item for item in job.items}, texts
@@ -52,15 +60,15 @@
         while len(self._ended) > KEPT_JOBS:
             self._ended.popitem(last=False)
 
-    def fitting(self, job: JobDefinition, single_version: bool) -> MadeTexts:
-        """What may be used of earlier jobs' texts for this one.
+    def fitting(self, job: JobDefinition, single_version: bool) -> JobOutputs:
+        """What may be used of earlier jobs' outputs for this one.
 
         Parameters
         ==========
 
         single_version : whether all events of a text must be made by one weight version.
         """
-        fitting = MadeTexts()
+        fitting = JobOutputs()
         for item in job.items:
             for ended in reversed(self._ended.values()):
                 if self._is_same(item, job, ended):
@@ -81,9 +89,9 @@
         item: ItemDefinition,
         earlier: ItemDefinition,
         job: JobDefinition,
-        texts: MadeTexts,
+        texts: JobOutputs,
         single_version: bool,
-        fitting: MadeTexts,
+        fitting: JobOutputs,
     ) -> None:
         item_id = item.id
         finished, partial = texts.finished.get(item_id), texts.partial.get(item_id)
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -9,7 +9,7 @@
 from crankseam import clocks
 from crankseam.backoff import Backoff
 from crankseam.errors import KeyValueError, KeyValueUnavailable
-from crankseam.jobs.carried import MadeTexts
+from crankseam.jobs.earlier_outputs import JobOutputs
 from crankseam.jobs.errors import ResultsConflict
 from crankseam.jobs.item_maker import ItemMaker
 from crankseam.jobs.item_retry import give_up_at
@@ -168,7 +168,7 @@
         self._pending.append(result)
         self._moments.finished(self._group_of[result.id])
 
-    def made_texts(self) -> MadeTexts:
+    def outputs(self) -> JobOutputs:
         """Everything that was made so far, listed or not."""
         finished = {one.id: one for one in [*self.results, *self._pending] if one.completed}
         partial = {
@@ -176,7 +176,7 @@
             for item_id, text in self._kept.items()
             if text.events and item_id not in finished
         }
-        return MadeTexts(finished, partial)
+        return JobOutputs(finished, partial)
 
     async def _result_of(self, index: int, item: ItemDefinition) -> ItemResult:
         rank = rank_of(self.job, self._started_at, item, index)
--- a/src/crankseam/jobs/running.py
+++ b/src/crankseam/jobs/running.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from crankseam.coordination.process_lease import ProcessLease
-from crankseam.jobs.carried import CarriedTexts
+from crankseam.jobs.earlier_outputs import EarlierOutputs
 from crankseam.jobs.model import ItemResult, JobDefinition, PartialText
 from crankseam.jobs.reader import JobReader
 from crankseam.jobs.runner import JobRunner
@@ -38,7 +38,7 @@
     make_runner : makes the runner of a job that starts here.
     lease : this process's lease; ownership hangs on it.
     reader : takes over what a runner listed when its run stops here.
-    carried : keeps the texts of jobs that end.
+    earlier_outputs : keeps the outputs of jobs that end.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         make_runner: RunnerFactory,
         lease: ProcessLease,
         reader: JobReader,
-        carried: CarriedTexts,
+        earlier_outputs: EarlierOutputs,
         supervisor: Supervisor,
     ) -> None:
         self._make_runner = make_runner
         self._lease = lease
         self._reader = reader
-        self._carried = carried
+        self._earlier_outputs = earlier_outputs
         self._supervisor = supervisor
         self.runners: dict[str, JobRunner] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -124,7 +124,7 @@
             self._ended.popitem(last=False)
         runner = self.stop(job_id)
         if runner is not None:
-            self._carried.keep(runner.job, runner.made_texts())
+            self._earlier_outputs.keep(runner.job, runner.outputs())
 
     def has_ended(self, job_id: str) -> bool:
         """Whether this process saw the job's end."""
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -17,9 +17,9 @@
 )
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.errors import KeyValueError, KeyValueUnavailable
-from crankseam.jobs.carried import CarriedTexts
 from crankseam.jobs.claims import JobClaims
 from crankseam.jobs.dispatcher import Dispatcher
+from crankseam.jobs.earlier_outputs import EarlierOutputs
 from crankseam.jobs.errors import AcceptanceUnknown, JobUnknown
 from crankseam.jobs.item_maker import ItemMaker
 from crankseam.jobs.item_run import RouteFinder
@@ -74,9 +74,9 @@
         self._owners = owners
         self._reader = JobReader(self._repository)
         self.lease = ProcessLease(store)
-        self._carried = CarriedTexts()
+        self._earlier_outputs = EarlierOutputs()
         self.running = RunningJobs(
-            self._make_runner, self.lease, self._reader, self._carried, supervisor
+            self._make_runner, self.lease, self._reader, self._earlier_outputs, supervisor
         )
         self.pace_sharing = PaceSharing(
             store, self.lease, process, dispatcher.paces, dispatcher.knows
@@ -97,21 +97,21 @@
     ) -> JobRunner:
         """See RunnerFactory."""
         route = self._find_route(job)
-        carried = self._carried.fitting(job, route is not None and route.single_version)
-        if carried.finished or carried.partial:
+        earlier = self._earlier_outputs.fitting(job, route is not None and route.single_version)
+        if earlier.finished or earlier.partial:
             log.info(
                 "texts_carried",
                 extra={
                     "job": job.id,
-                    "finished": len(carried.finished),
-                    "partial": len(carried.partial),
+                    "finished": len(earlier.finished),
+                    "partial": len(earlier.partial),
                 },
             )
         return JobRunner(
             job,
             listed,
-            carried.partial | kept,
-            list(carried.finished.values()),
+            earlier.partial | kept,
+            list(earlier.finished.values()),
             self._repository,
             self._maker,
         )
--- a/tests/jobs/test_carried.py
+++ b/tests/jobs/test_earlier_outputs.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from crankseam.jobs.carried import KEPT_JOBS, CarriedTexts, MadeTexts
+from crankseam.jobs.earlier_outputs import KEPT_JOBS, EarlierOutputs, JobOutputs
 from crankseam.jobs.model import ItemResult, PartialText
 from tests.jobs.factories import events, make_job
 from tests.jobs.test_service import all_results, cluster, soon
@@ -17,19 +17,19 @@
     return msgspec.structs.replace(job, id=job_id, min_version=min_version)
 
 
-def carried_texts(job, versions, finished_versions=None):
-    texts = MadeTexts(partial={job.items[0].id: PartialText(["a", "b"], versions)})
+def earlier_outputs(job, versions, finished_versions=None):
+    texts = JobOutputs(partial={job.items[0].id: PartialText(["a", "b"], versions)})
     if finished_versions is not None:
         result = ItemResult(job.items[1].id, True, "x\ny", finished_versions)
         texts.finished[job.items[1].id] = result
-    carried = CarriedTexts()
-    carried.keep(job, texts)
-    return carried
+    earlier = EarlierOutputs()
+    earlier.keep(job, texts)
+    return earlier
 
 
 def test_texts_of_an_item_that_comes_again_are_found():
     job = make_job()
-    fitting = carried_texts(job, [3], [3, 4]).fitting(again(job), False)
+    fitting = earlier_outputs(job, [3], [3, 4]).fitting(again(job), False)
     assert fitting.partial == {"j1-i0": PartialText(["a", "b"], [3])}
     assert list(fitting.finished) == ["j1-i1"]
 
@@ -48,34 +48,38 @@
 )
 def test_a_text_is_used_only_if_its_versions_fit_the_later_job(versions, min_version, single, fits):
     job = make_job()
-    carried = carried_texts(job, versions, versions)
-    fitting = carried.fitting(again(job, min_version=min_version), single)
+    earlier = earlier_outputs(job, versions, versions)
+    fitting = earlier.fitting(again(job, min_version=min_version), single)
     assert bool(fitting.partial) is fits
     assert bool(fitting.finished) is fits
 
 
+def not_found(earlier, job):
+    return earlier.fitting(job, False) == JobOutputs()
+
+
 def test_an_item_with_another_body_or_model_shares_only_its_id():
     job = make_job()
-    carried = carried_texts(job, [3], [3])
+    earlier = earlier_outputs(job, [3], [3])
     changed = [msgspec.structs.replace(item, body=b"other") for item in job.items]
-    assert carried.fitting(msgspec.structs.replace(again(job), items=changed), False) == MadeTexts()
+    assert not_found(earlier, msgspec.structs.replace(again(job), items=changed))
     other_model = msgspec.structs.replace(again(job), model="other")
-    assert carried.fitting(other_model, False) == MadeTexts()
+    assert not_found(earlier, other_model)
 
 
 def test_the_later_run_does_not_change_what_is_kept():
     job = make_job()
-    carried = carried_texts(job, [3])
-    carried.fitting(again(job), False).partial["j1-i0"].clear()
-    assert carried.fitting(again(job), False).partial["j1-i0"].events == ["a", "b"]
+    earlier = earlier_outputs(job, [3])
+    earlier.fitting(again(job), False).partial["j1-i0"].clear()
+    assert earlier.fitting(again(job), False).partial["j1-i0"].events == ["a", "b"]
 
 
 def test_only_the_newest_jobs_are_kept():
     job = make_job()
-    carried = carried_texts(job, [3])
+    earlier = earlier_outputs(job, [3])
     for number in range(KEPT_JOBS):
-        carried.keep(make_job(f"other{number}"), MadeTexts())
-    assert carried.fitting(again(job), False) == MadeTexts()
+        earlier.keep(make_job(f"other{number}"), JobOutputs())
+    assert earlier.fitting(again(job), False) == JobOutputs()
 
 
 async def test_items_that_come_again_go_on_where_the_ended_job_stopped(cluster):
@@ -87,7 +91,7 @@
     await process.jobs.submit(job, soon())
     results = await all_results(process.jobs, "j1", 1)
     running = process.jobs.running.runners["j1"]
-    await eventually(lambda: len(running.made_texts().partial) == 2)
+    await eventually(lambda: len(running.outputs().partial) == 2)
     await process.jobs.end("j1")
     sent_before = len(samplers.attempts)
     samplers.hold.set()
