--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -188,9 +188,9 @@
         runner = self._running.runners.get(job_id)
         if runner is None:
             return
-        first_number = runner.chunks
+        first_number = runner.listing.chunks
         chunks, _ = await self._repository.read_chunks(job_id, first_number)
-        runner.take_chunks(first_number, chunks)
+        runner.listing.take_chunks(first_number, chunks)
 
     def _follow_former_owner(self, job_id: str) -> None:
         self._supervisor.once(partial(self._read_on, job_id), f"follow {job_id}")
@@ -203,8 +203,9 @@
         runner = self._running.runners.get(job_id)
         if runner is None:
             return
-        runner.checked_at = clocks.promised_s()
-        end = runner.checked_at + FORMER_OWNER_S
+        listing = runner.listing
+        listing.checked_at = clocks.promised_s()
+        end = listing.checked_at + FORMER_OWNER_S
         while (
             clocks.promised_s() < end
             and self._running.runners.get(job_id) is runner
@@ -214,9 +215,9 @@
             asked_at = clocks.promised_s()
             try:
                 await self.take_listed(job_id)
-                runner.checked_at = asked_at
+                listing.checked_at = asked_at
             except KeyValueError as error:
                 log.warning(
                     "results_not_read", extra={"job": job_id, "error": type(error).__name__}
                 )
-        runner.checked_at = None
+        listing.checked_at = None
--- a/src/crankseam/jobs/running.py
+++ b/src/crankseam/jobs/running.py
@@ -104,7 +104,8 @@
         if task is not None:
             task.cancel()
         if runner is not None and runner.accepted.is_set():
-            self._reader.remember(runner.job, runner.chunks, list(runner.results))
+            listing = runner.listing
+            self._reader.remember(runner.job, listing.chunks, list(listing.results))
         return runner
 
     def drop_unaccepted(self, job_id: str) -> bool:
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -241,9 +241,10 @@
         runner = self.running.runners.get(job_id)
         if runner is not None and self.is_owner(job_id):
             if wait:
-                await runner.wait_for(position, wait)
-            if len(runner.results) > position or self.is_owner(job_id):
-                return len(runner.job.items), runner.results[position:]
+                await runner.listing.wait_for(position, wait)
+            results = runner.listing.results
+            if len(results) > position or self.is_owner(job_id):
+                return len(runner.job.items), results[position:]
         owner = self.claims.other_owner(job_id)
         if owner is not None and self._owners is not None:
             answer = await self._owners.results(owner, job_id, position, wait)
@@ -270,7 +271,7 @@
     def is_owner(self, job_id: str) -> bool:
         """Whether this process knows all that is listed of a job, but for the last moments."""
         runner = self.running.runners.get(job_id)
-        return runner is not None and runner.is_certain() and self.running.is_owner(job_id)
+        return runner is not None and runner.listing.is_certain() and self.running.is_owner(job_id)
 
     async def stop(self) -> None:
         """Hand the jobs over: others claim them when the lease is ended."""
--- a/tests/jobs/test_peer_reads.py
+++ b/tests/jobs/test_peer_reads.py
@@ -122,7 +122,7 @@
     await eventually(lambda: other.jobs.is_owner("j1"), "taken over")
     late = [ItemResult("j1-i0", True, "late")]
     await JobRepository(store, "a").append("j1", 0, late)
-    await eventually(lambda: other.jobs.running.runners["j1"].results == late)
+    await eventually(lambda: other.jobs.running.runners["j1"].listing.results == late)
     assert await other.jobs.read("j1", 0, 0.0) == (3, late)
 
 
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -109,7 +109,7 @@
     store.faults.down = True
     samplers.hold.set()
     runner = owner.jobs.running.runners["j1"]
-    await eventually(lambda: len(runner._pending) == 3)
+    await eventually(lambda: len(runner.listing._pending) == 3)
     made = len(samplers.attempts)
     await eventually(lambda: not owner.jobs.lease.is_held())
     for lease in list(store._leases):
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -66,10 +66,10 @@
 async def test_an_owner_that_looked_before_is_certain_no_more(suspend):
     maker = make_maker(Dispatcher(make_registry(), "z"), ScriptedSamplers())
     runner = JobRunner(make_job(), [], {}, [], JobRepository(MemoryStore(), "a"), maker)
-    runner.checked_at = clocks.promised_s()
-    assert runner.is_certain()
+    runner.listing.checked_at = clocks.promised_s()
+    assert runner.listing.is_certain()
     suspend()
-    assert not runner.is_certain()
+    assert not runner.listing.is_certain()
 
 
 def test_a_configuration_lease_is_over(suspend):
