--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -1,4 +1,8 @@
-"""Claims open jobs that have no living owner, and goes on with their runs."""
+"""Claims open jobs that have no living owner, and goes on with their runs.
+
+Owns the claims that are under way. Relies on the follower of the jobs' states for what is known, on
+the store for who wins, on take_over.py for when to try, and on RunningJobs for the runs.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +16,22 @@
 from crankseam.coordination.interface import Entry
 from crankseam.coordination.presence import living_capacities
 from crankseam.coordination.process_lease import ProcessLease
-from crankseam.coordination.ranking import rank_by_capacity, turn_delay_s
 from crankseam.errors import KeyValueError
 from crankseam.jobs.demand import ModelDemand, decode_open_job
 from crankseam.jobs.repository import OPEN_PREFIX, OWNER_PREFIX, JobRepository
 from crankseam.jobs.running import RunningJobs
+from crankseam.jobs.take_over import (
+    FORMER_OWNER_LOOK_S,
+    FORMER_OWNER_S,
+    RECLAIM_S,
+    claim_delay_s,
+    needs_owner,
+)
 from crankseam.serving.supervisor import Supervisor
 
 log = logging.getLogger(__name__)
 
 
-RECLAIM_S = 1.0
-FORMER_OWNER_S = 8.0
-"""A write that got no answer may take effect so much later."""
-FORMER_OWNER_LOOK_S = 0.6
-
-
 class JobClaims:
     """Reacts to the prefix of jobs' states.
 
@@ -108,13 +112,13 @@
     # --- claiming
 
     def _needs_owner(self, job_id: str) -> bool:
-        """Whether the job is open and has no living owner, as far as is known."""
-        if OPEN_PREFIX + job_id not in self._state.entries:
-            return False
-        if self._owner(job_id) is None:
-            return True
-        # An earlier life of this process is no living owner.
-        return self._was_own(job_id) and not self._running.is_owned_under_current_lease(job_id)
+        owner = self._owner(job_id)
+        return needs_owner(
+            OPEN_PREFIX + job_id in self._state.entries,
+            owner.value if owner is not None else None,
+            self._process,
+            self._running.is_owned_under_current_lease(job_id),
+        )
 
     def _was_own(self, job_id: str) -> bool:
         owner = self._owner(job_id)
@@ -139,12 +143,10 @@
             self._claiming.discard(job_id)
 
     def _claim_delay_s(self, job_id: str) -> float:
-        """How long this process leaves a job to those that rank before it."""
-        living = living_capacities(self._state)
-        return turn_delay_s(rank_by_capacity(self._subject(job_id), living), self._name)
+        return claim_delay_s(self._subject(job_id), living_capacities(self._state), self._name)
 
     def _subject(self, job_id: str) -> str:
-        """What processes are ranked for: the model, whose next jobs go to the same process."""
+        """See claim_delay_s."""
         opened = self._state.entries.get(OPEN_PREFIX + job_id)
         model = decode_open_job(opened.value).model if opened is not None else ""
         return model or job_id
--- /dev/null
+++ b/tests/jobs/test_take_over.py
@@ -0,0 +1,27 @@
+"""The rule of taking over by itself."""
+
+import pytest
+
+from crankseam.coordination.ranking import FIRST_TURN_S, TURN_STEP_S
+from crankseam.jobs.take_over import claim_delay_s, needs_owner
+
+
+@pytest.mark.parametrize(
+    ("is_open", "owner", "is_current", "needs"),
+    [
+        (False, None, False, False),
+        (True, None, False, True),
+        (True, b"other", False, False),
+        (True, b"me", True, False),
+        (True, b"me", False, True),
+    ],
+    ids=["ended", "no owner", "another process", "this process", "its earlier life"],
+)
+def test_a_job_needs_an_owner(is_open, owner, is_current, needs):
+    assert needs_owner(is_open, owner, b"me", is_current) == needs
+
+
+def test_processes_of_large_machines_take_their_turns_first():
+    living = {"small": 1.0, "large": 8.0}
+    assert claim_delay_s("m", living, "large") == FIRST_TURN_S
+    assert claim_delay_s("m", living, "small") == pytest.approx(FIRST_TURN_S + TURN_STEP_S)
