--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -22,16 +22,17 @@
 not recorded."""
 NEXT_EVENT_S = 0.3
 """Longest silence between two events before the run goes on elsewhere; it doubles with each
-silence of the item. Events of a healthy sampler are 0.04 to 0.06 s apart. Origin not recorded."""
+silence of the item. Events of a healthy sampler are 0.04 to 0.06 s apart; one that loads a version
+stands still for 0.9 s. Set in a3bb3a8, not measured by itself."""
 LONGEST_SILENCE_S = 2.5
 """What that doubles up to: as long as the wait for a first event. Origin not recorded."""
 LONGEST_ATTEMPT_S = 60.0
 """Seconds that a sampler is given for one attempt. Origin not recorded."""
 FULL_PAUSE_S = 0.05
 """A sampler that rejected an item because it is full is avoided for so long: about one event.
-Origin not recorded."""
+Set in a3bb3a8, not measured by itself."""
 LOADING_PAUSE_S = 0.3
-"""The same for one that had room: it loads a version. Origin not recorded."""
+"""The same for one that had room: it loads a version. Set in a3bb3a8, not measured by itself."""
 BROKEN_PAUSE_S = 0.02
 """Between an attempt that broke off and the next one of the item. Origin not recorded."""
 GIVE_UP_MARGIN_S = 2.0
--- a/src/crankseam/jobs/listing_moments.py
+++ b/src/crankseam/jobs/listing_moments.py
@@ -2,8 +2,15 @@
 
 A trainer reads about twice a second, and a read that waits is answered by whatever is listed first:
 so each listing that does not end its step may cost it half a second before it sees the one that
-does. Until the groups that it waits for are whole, results are therefore listed seldom, and the
-moment they are, at once.
+does.
+
+Inputs: the job's groups and how many of them the trainer waits for, which items have their results,
+the time at which the results are due (monotonic).
+Rule: until so many groups are whole, what is finished is listed each SELDOM_LISTED_S. Once they
+are, and also from the due time on, each further whole group is listed after GROUP_LISTED_S. Items
+without groups count each by itself: they are listed after SINGLE_LISTED_S.
+Protects: the trainer's reading pause at the end of a step, and writes to the store.
+Shown by: `results_listed`. Held by: tests/jobs/test_listing_moments.py, test_runner.py.
 """
 
 from __future__ import annotations
@@ -16,11 +23,15 @@
 from crankseam.jobs.model import JobDefinition
 
 SELDOM_LISTED_S = 2.0
-"""Results made within this time are listed by one write while the step can't end by them."""
+"""Results made within this time are listed by one write while the step can't end by them.
+Measured in 288f925: from the last listing to the end of the step 0.601 -> 0.379 s, calls of the
+store
+4,326 -> 4,183 a day."""
 GROUP_LISTED_S = 0.08
-"""Once it can, results that complete a group are listed after this."""
+"""Once it can, results that complete a group are listed after this, so that those which end at one
+moment need one write. Set in cb90c68, measured there only together with the choice of samplers."""
 SINGLE_LISTED_S = 0.25
-"""The same for jobs whose items have no groups: each counts by itself."""
+"""The same for jobs whose items have no groups: each counts by itself. Origin not recorded."""
 
 
 class ListingMoments:
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -124,7 +124,7 @@
 """The memory of a service's samplers; None if that is not known."""
 SIZE_STEP_EVENTS = 16
 """Runs whose events differ by less than this are placed alike: a queue is worked out for each
-kind, and an event adds little memory. Origin of the figure not recorded."""
+kind, and an event adds little memory. Set in 0dca76b, not measured by itself."""
 
 
 class _Queue:
