--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -30,7 +30,7 @@
     PartialText,
 )
 from crankseam.jobs.places import PlaceNeed
-from crankseam.jobs.routed_place import routed_place
+from crankseam.jobs.routed_places import RoutedPlaces
 from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
@@ -119,8 +119,8 @@
         self.item = item
         self._rank = rank
         self._find_route = parts.find_route
-        self._splitter = parts.splitter
         self._dispatcher = parts.dispatcher
+        self._places = RoutedPlaces(parts.dispatcher, parts.splitter)
         self._client = parts.client
         self._guard = parts.guard
         self._trial = parts.guard.begin(_subject(job, item), DEFAULT_MOST_ENDS_OF_ITEM)
@@ -153,16 +153,11 @@
                 self._dispatcher.release(reserved, self.item.id)
                 reserved = None
             await self._trial.wait_admitted()
-            async with routed_place(
-                self._dispatcher,
-                self._splitter,
-                partial(self._find_route, self.job),
-                self._need(),
-                self._only_version,
-                reserved,
-            ) as (route, back_end):
+            async with self._places.hold(
+                partial(self._find_route, self.job), self._need(), self._only_version, reserved
+            ) as place:
                 placed_at = time.monotonic()
-                result = await self._attempt(back_end, route)
+                result = await self._attempt(place.back_end, place.route)
                 self.held_s += time.monotonic() - placed_at
             if result is not None:
                 return result
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -11,6 +11,7 @@
 import logging
 import time
 from collections.abc import Callable
+from functools import partial
 from typing import Protocol
 
 from crankseam import clocks
@@ -26,7 +27,7 @@
 )
 from crankseam.jobs.model import ItemDefinition, JobDefinition, ScoringRequest
 from crankseam.jobs.places import PlaceNeed
-from crankseam.jobs.routed_place import routed_place
+from crankseam.jobs.routed_places import RoutedPlaces
 from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
@@ -78,11 +79,10 @@
         splitter: TrafficSplitter,
         guard: CrashGuard,
     ) -> None:
-        self._dispatcher = dispatcher
+        self._places = RoutedPlaces(dispatcher, splitter)
         self._client = client
         self._guard = guard
         self._find_route = find_route
-        self._splitter = splitter
 
     async def score(
         self,
@@ -115,16 +115,12 @@
     ) -> str | None:
         while True:
             await run.trial.wait_admitted()
-            async with routed_place(
-                self._dispatcher,
-                self._splitter,
-                lambda: self._find_route(request),
-                PlaceNeed(rank, avoided=run.avoided, slots_share=SCORING_SLOTS_SHARE),
-            ) as (route, back_end):
-                score = await run.attempt(route, back_end)
+            need = PlaceNeed(rank, avoided=run.avoided, slots_share=SCORING_SLOTS_SHARE)
+            async with self._places.hold(partial(self._find_route, request), need) as place:
+                score = await run.attempt(place.route, place.back_end)
             if score is not None:
                 return score
-            if run.may_give_up(most_scoring_failures(route, job_attempts), back_end):
+            if run.may_give_up(most_scoring_failures(place.route, job_attempts), place.back_end):
                 return None
             await asyncio.sleep(run.backoff.next_delay())
 
