--- a/src/crankseam/jobs/demand.py
+++ b/src/crankseam/jobs/demand.py
@@ -1,4 +1,8 @@
-"""What the open jobs of each model need: how many items run, and the oldest version that may."""
+"""What the open jobs of each model need: how many items run, and the oldest version that may.
+
+Owns the most items that were open at one moment lately, by model, from the keys of open jobs, which
+all processes follow. Who orders weight versions and samplers relies on it.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/jobs/errors.py
+++ b/src/crankseam/jobs/errors.py
@@ -1,4 +1,7 @@
-"""Failures of jobs and of their items."""
+"""Failures of jobs and of their items.
+
+Those of items and scores come from the clients that send them; the others from the store's answers.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -1,4 +1,9 @@
-"""Makes the result of an item: its text at samplers, then the score of that text."""
+"""Makes the result of an item: its text at samplers, then the score of that text.
+
+Owns what this process learns of how long items hold places. Relies on ItemRun and ItemScorer. A
+text that is whole but lacks its score stays in `kept`: who takes the job over only asks for the
+score.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -1,4 +1,10 @@
-"""Runs one item to its result: attempts, resumes at other samplers, limits of failures."""
+"""Runs one item to its result: attempts at samplers, each going on where the last one stopped.
+
+Owns the item's attempts, failures, silences and its request to move; the text that was made so far
+is the caller's and grows meanwhile. Relies on RoutedPlaces for places, on the generation client for
+events, on CrashGuard for items under which samplers ended. The rules are those of item_retry.py,
+urgency.py and migration.py.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/jobs/item_seconds.py
+++ b/src/crankseam/jobs/item_seconds.py
@@ -1,4 +1,8 @@
-"""How long the items of each model hold places at samplers, learned from those that ended."""
+"""How long the items of each model hold places at samplers, learned from those that ended.
+
+Owns smoothed sums of seconds and hinted tokens by model, in this process's memory. What it tells
+goes with each accepted job to all processes, which share samplers between models by it.
+"""
 
 from __future__ import annotations
 
@@ -16,13 +20,13 @@
 class _Sums:
     """Smoothed sums over ended items."""
 
-    seconds: float = 0.0
+    held_s: float = 0.0
     units: float = 0.0
     items: int = 0
 
-    def take(self, seconds: float, units: float) -> None:
+    def take(self, held_s: float, units: float) -> None:
         kept = 1.0 - 1.0 / REMEMBERED_ITEMS
-        self.seconds = self.seconds * kept + seconds
+        self.held_s = self.held_s * kept + held_s
         self.units = self.units * kept + units
         self.items += 1
 
@@ -42,9 +46,9 @@
     def __init__(self) -> None:
         self._sums: dict[str, _Sums] = {}
 
-    def ended(self, model: str, item: ItemDefinition, seconds: float) -> None:
+    def ended(self, model: str, item: ItemDefinition, held_s: float) -> None:
         """An item's text became whole after it held places for so long, in all attempts."""
-        self._sums.setdefault(model, _Sums()).take(seconds, _units(item))
+        self._sums.setdefault(model, _Sums()).take(held_s, _units(item))
 
     def mean_s(self, job: JobDefinition) -> float:
         """How long an item of a job is likely to hold places; 0 if that is not known."""
@@ -52,4 +56,4 @@
         if sums is None or sums.items < FEWEST_ITEMS or not job.items:
             return 0.0
         units = sum(_units(item) for item in job.items) / len(job.items)
-        return units * sums.seconds / sums.units
+        return units * sums.held_s / sums.units
--- a/src/crankseam/jobs/model.py
+++ b/src/crankseam/jobs/model.py
@@ -1,4 +1,8 @@
-"""What a job, its items and their results are; also how they are stored."""
+"""What a job, its items and their results are; also how they are stored.
+
+The store and other processes hold these by the names of their fields, and read what older versions
+wrote: a field is added with a default, never renamed.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/jobs/pace_sharing.py
+++ b/src/crankseam/jobs/pace_sharing.py
@@ -22,11 +22,14 @@
 log = logging.getLogger(__name__)
 
 PACE_PREFIX = STATE_PREFIX + "pace/"
+"""Below it stands a table of each process: seconds between events by id of the sampler."""
 LOOK_S = 0.5
+"""Seconds between two looks for news. Origin not recorded."""
 SHORTEST_PAUSE_S = 2.0
-"""Between two tables of one process."""
+"""Between two tables of one process. Set in 3bdd67d, not measured by itself."""
 CHANGE_SHARE = 0.1
-"""A pace that differs by less than this from what was told is not told anew."""
+"""A pace that differs by less than this share from what was told is not told anew. Set in 3bdd67d,
+not measured by itself."""
 
 
 class PaceSharing:
--- a/src/crankseam/jobs/peer_reads.py
+++ b/src/crankseam/jobs/peer_reads.py
@@ -17,7 +17,8 @@
 from crankseam.jobs.model import ItemDefinition, ItemResult
 
 ANSWER_SLACK_S = 0.3
-"""An owner that answers later than this is not waited for: the store is asked instead."""
+"""Seconds beyond the wait itself for which an owner's answer is waited for; then the store is
+asked. Origin not recorded."""
 
 
 class ResultsQuestion(msgspec.Struct, frozen=True, tag=True):
@@ -65,7 +66,7 @@
     def is_owner(self, job_id: str) -> bool:
         """See JobService.is_owner."""
 
-    async def read(self, job_id: str, position: int, wait: float) -> tuple[int, list[ItemResult]]:
+    async def read(self, job_id: str, position: int, wait_s: float) -> tuple[int, list[ItemResult]]:
         """See JobService.read."""
 
     async def item(self, job_id: str, item_id: str) -> ItemDefinition:
@@ -100,6 +101,7 @@
             raw = await self._ask_owner(owner, msgspec.msgpack.encode(question), longest_s)
             return msgspec.msgpack.decode(raw, type=OwnerAnswer)
         except (KeyValueError, msgspec.DecodeError):
+            # The caller asks the store instead.
             return OwnerAnswer()
 
     async def serve(self, raw: bytes) -> bytes:
--- a/src/crankseam/jobs/reader.py
+++ b/src/crankseam/jobs/reader.py
@@ -1,4 +1,8 @@
-"""Jobs that other processes run, as far as this one has read them from the store."""
+"""Jobs that other processes run, as far as this one has read them from the store.
+
+Owns copies of the newest CACHED_JOBS jobs that were asked for. Chunks never change, so what was
+read stays true and only what came since is read again. Relies on the repository.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +19,8 @@
 log = logging.getLogger(__name__)
 
 CACHED_JOBS = 24
+"""Copies that a process keeps, the ones asked for last; an older one is read anew. Origin not
+recorded."""
 
 
 @dataclass
@@ -54,22 +60,22 @@
             reading, _ = await self._load(job_id)
         return reading.definition
 
-    async def read(self, job_id: str, position: int, wait: float) -> tuple[int, list[ItemResult]]:
+    async def read(self, job_id: str, position: int, wait_s: float) -> tuple[int, list[ItemResult]]:
         """The number of items and the results from a position on; see JobService.read."""
         reading = self._known(job_id)
         if reading is None:
             reading, revision = await self._load(job_id)
         elif not reading.has(position):
             revision = await self._read_on(job_id, reading)
-        if not reading.has(position) and wait:
-            await self._wait_for_more(job_id, reading, revision, wait)
+        if not reading.has(position) and wait_s:
+            await self._wait_for_more(job_id, reading, revision, wait_s)
         return len(reading.definition.items), reading.results[position:]
 
     async def _wait_for_more(
-        self, job_id: str, reading: _Reading, revision: int, wait: float
+        self, job_id: str, reading: _Reading, revision: int, wait_s: float
     ) -> None:
         try:
-            await self._repository.watch_results(job_id, revision, wait)
+            await self._repository.watch_results(job_id, revision, wait_s)
             await self._read_on(job_id, reading)
         except KeyValueError:
             # What was read before the wait is an answer too.
--- a/src/crankseam/jobs/repository.py
+++ b/src/crankseam/jobs/repository.py
@@ -247,9 +247,9 @@
             return found is not None and found.value == name and found.lease == lease
         return True
 
-    async def watch_results(self, job_id: str, after_revision: int, wait: float) -> None:
-        """Return when results were listed after a revision, or after `wait` seconds."""
-        await self._store.watch(result_prefix(job_id), after_revision, wait)
+    async def watch_results(self, job_id: str, after_revision: int, wait_s: float) -> None:
+        """Return when results were listed after a revision, or after so many seconds."""
+        await self._store.watch(result_prefix(job_id), after_revision, wait_s)
 
 
 def fitting_one_chunk(results: list[ItemResult]) -> list[ItemResult]:
--- a/src/crankseam/jobs/retention.py
+++ b/src/crankseam/jobs/retention.py
@@ -1,4 +1,12 @@
-"""Removes ended jobs from the store once nobody can ask for them any more."""
+"""When an ended job is removed from the store, and by which process.
+
+Inputs: the keys of ended jobs, as this process follows them; when it first saw each, by its own
+monotonic clock; the time for which the deployment lets callers ask for ended jobs.
+Rule: a job is removed KEPT_FACTOR times that long after this process first saw its end, plus a
+random delay of up to SPREAD_S, by the processes that watch the store for others.
+Protects: callers that still ask; the store, which would else grow for ever.
+Shown by: `job_removed`, `job_not_removed`. Held by: tests/jobs/test_retention.py.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +23,13 @@
 log = logging.getLogger(__name__)
 
 LOOK_S = 5.0
+"""Seconds between two looks for jobs to remove. Origin not recorded."""
 SPREAD_S = 30.0
 """Processes that may remove the same job come to it within so long of each other: the first does
-it, and the others see that it is gone."""
+it, and the others see that it is gone. Origin not recorded."""
 KEPT_FACTOR = 2.0
-"""An ended job is kept this many times as long as the deployment allows it to be asked for."""
+"""An ended job is kept this many times as long as the deployment allows it to be asked for.
+A choice (6ccbff5), not measured."""
 
 
 class JobRetention:
--- a/src/crankseam/jobs/running.py
+++ b/src/crankseam/jobs/running.py
@@ -1,4 +1,9 @@
-"""The jobs that this process runs, the lease that owns them, and which jobs are over."""
+"""The jobs that this process runs, the lease that owns them, and which jobs are over.
+
+Owns the runners and their tasks, the lease under which each job was owned, and the ids of the
+newest ended jobs, so that nothing late starts one again. Relies on the process's lease for
+ownership.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -238,26 +238,29 @@
 
     # --- read
 
-    async def read(self, job_id: str, position: int, wait: float) -> tuple[int, list[ItemResult]]:
+    async def read(self, job_id: str, position: int, wait_s: float) -> tuple[int, list[ItemResult]]:
         """The number of items and the results listed from a position on.
 
+        Args:
+            wait_s: how long to wait for a result there if none is listed.
+
         Raises:
             JobUnknown: there is no such job.
             KeyValueError: this process can't be sure of what is listed.
         """
         runner = self.running.runners.get(job_id)
         if runner is not None and self.is_owner(job_id):
-            if wait:
-                await runner.listing.wait_for(position, wait)
+            if wait_s:
+                await runner.listing.wait_for(position, wait_s)
             results = runner.listing.results
             if len(results) > position or self.is_owner(job_id):
                 return len(runner.job.items), results[position:]
         owner = self.claims.other_owner(job_id)
         if owner is not None and self._owners is not None:
-            answer = await self._owners.results(owner, job_id, position, wait)
+            answer = await self._owners.results(owner, job_id, position, wait_s)
             if answer is not None:
                 return answer
-        return await self._reader.read(job_id, position, wait)
+        return await self._reader.read(job_id, position, wait_s)
 
     async def item(self, job_id: str, item_id: str) -> ItemDefinition:
         """An item's definition; raises JobUnknown if there is no such job or item."""
