--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -7,25 +7,16 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 
-from crankseam import clocks
-from crankseam.backoff import Backoff
 from crankseam.coordination.follower import WATCH_SECONDS, PrefixFollower
-from crankseam.coordination.interface import (
-    NO_LEASE,
-    CoordinationStore,
-    Entry,
-    LeaseExpired,
-    WatchedStore,
-)
+from crankseam.coordination.interface import CoordinationStore, Entry, WatchedStore
 from crankseam.coordination.process_lease import ProcessLease
-from crankseam.errors import KeyValueError, KeyValueUnavailable
+from crankseam.jobs.acceptance import JobAcceptance
 from crankseam.jobs.claims import JobClaims
 from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.earlier_outputs import EarlierOutputs
-from crankseam.jobs.errors import AcceptanceUnknown, JobUnknown
+from crankseam.jobs.errors import JobUnknown
 from crankseam.jobs.item_maker import ItemMaker
 from crankseam.jobs.item_run import RouteFinder
 from crankseam.jobs.job_tenants import JobTenants
@@ -42,14 +33,6 @@
 
 log = logging.getLogger(__name__)
 
-RUN_AHEAD_S = 0.2
-"""A job runs, unlisted, when its acceptance takes longer than this: an outage of the store then
-costs less of its step's time (0.43 -> 0.58 of a day with outages served, ed2ddcf)."""
-RETRY_BASE_S = 0.1
-"""First pause between two tries to write a job; see Backoff. Origin not recorded."""
-RETRY_CAP_S = 0.5
-"""Longest such pause. Origin not recorded."""
-
 
 class JobService:
     """The jobs of one process.
@@ -92,6 +75,9 @@
         self.claims = JobClaims(
             self._repository, self.lease, self.running, supervisor, process, self.state
         )
+        self._acceptance = JobAcceptance(
+            self._repository, self.lease, self.running, self.claims, maker.item_seconds
+        )
         self.tenants = JobTenants(self._repository, self.running, self.state)
         self.lease.on_new.append(self.claims.lease_replaced)
         self.lease.on_recovered.append(self.state.restart)
@@ -148,78 +134,8 @@
     # --- accept and end
 
     async def submit(self, job: JobDefinition, deadline: float) -> None:
-        """Accept a job; returns once it lasts.
-
-        While the store lets it wait, the job runs already, unlisted: so an outage of the store
-        costs little of a step's time. A process that drains accepts a job without an owner, for
-        another process to claim.
-
-        Args:
-            deadline: time of promises until which the caller waits.
-
-        Raises:
-            AcceptanceUnknown: the store did not say, or items ran; nothing can be promised.
-            JobIdTaken: another tenant's job has this id.
-            KeyValueUnavailable: the job was not accepted and never will be; nothing ran.
-        """
-        acceptance = asyncio.create_task(self._accept(job, deadline))
-        try:
-            done, _ = await asyncio.wait({acceptance}, timeout=RUN_AHEAD_S)
-            if not done and self.claims.active and job.id not in self.running.runners:
-                log.info("job_run_ahead", extra={"job": job.id})
-                self.running.start(job, [], {}, accepted=False)
-            created, lease = await acceptance
-        except KeyValueError as error:
-            if self.running.drop_unaccepted(job.id):
-                raise AcceptanceUnknown(job.id) from error
-            raise
-        except BaseException:
-            acceptance.cancel()
-            self.running.drop_unaccepted(job.id)
-            raise
-        log.info(
-            "job_accepted",
-            extra={
-                "job": job.id,
-                "tenant": job.tenant,
-                "step": job.step,
-                "items": len(job.items),
-                "min_version": job.min_version,
-                "again": not created,
-                "owned": created and self.claims.active,
-            },
-        )
-        if created and self.claims.active:
-            self._run_accepted(job, lease)
-        else:
-            self.running.drop_unaccepted(job.id)
-
-    async def _accept(self, job: JobDefinition, deadline: float) -> tuple[bool, int]:
-        """Write the job; whether this call accepted it, and the lease that owns it, if one does."""
-        backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
-        unknown = False
-        while True:
-            try:
-                lease = await self.lease.ensure() if self.claims.active else NO_LEASE
-                item_s = self._maker.item_seconds.mean_s(job)
-                return await self._repository.create(job, lease, item_s), lease
-            except LeaseExpired:
-                self.lease.forget()
-            except KeyValueError as error:
-                unknown = unknown or not isinstance(error, KeyValueUnavailable)
-                delay = backoff.next_delay()
-                if clocks.promised_s() + delay >= deadline:
-                    if unknown:
-                        raise AcceptanceUnknown(job.id) from error
-                    raise
-                await asyncio.sleep(delay)
-
-    def _run_accepted(self, job: JobDefinition, lease: int) -> None:
-        self.running.own(job.id, lease)
-        self.running.start(job, [], {})
-        runner = self.running.runners.get(job.id)
-        if runner is not None:
-            runner.accepted.set()
+        """Accept a job; returns once it lasts. See JobAcceptance.submit."""
+        await self._acceptance.submit(job, deadline)
 
     async def end(self, job_id: str, tenant: str = NO_TENANT) -> None:
         """End a job of a tenant.
