--- a/src/crankseam_experiments/weakened_node.py
+++ b/src/crankseam_experiments/weakened_node.py
@@ -24,6 +24,7 @@
 from crankseam.rollout.messages import Segment
 from crankseam.routing import Router
 from crankseam_experiments.spec import FaultName
+from crankseam_standins.replacing import replace_attribute
 
 
 @dataclass(frozen=True)
@@ -38,10 +39,6 @@
     """Slows the samplers down, where a step must be half received for it to show."""
 
 
-def _replace(owner: Any, name: str, replacement: Any) -> None:
-    setattr(owner, name, replacement)
-
-
 def _label_with_first_version() -> None:
     """Samples are labelled with the version they began with, not with what was reported."""
 
@@ -50,8 +47,8 @@
             first = segments[0].version if segments else version
             segments[:] = [Segment(first, 0, start + count)]
 
-    _replace(generation, "append_tokens", append)
-    _replace(executors, "append_tokens", append)
+    replace_attribute(generation, "append_tokens", append)
+    replace_attribute(executors, "append_tokens", append)
 
 
 def _deliver_stale() -> None:
@@ -61,14 +58,14 @@
         return None
 
     unbounded = property(lambda _self: -1_000_000)
-    _replace(generation.GenerationTarget, "oldest_allowed", unbounded)
-    _replace(step_run.StepRun, "_is_stale", lambda *_args: False)
-    _replace(WeightsController, "run", no_weights)
+    replace_attribute(generation.GenerationTarget, "oldest_allowed", unbounded)
+    replace_attribute(step_run.StepRun, "_is_stale", lambda *_args: False)
+    replace_attribute(WeightsController, "run", no_weights)
 
 
 def _ignore_cursor() -> None:
     """Every stream starts at the first sample."""
-    _replace(service, "parse_cursor", lambda _text: set())
+    replace_attribute(service, "parse_cursor", lambda _text: set())
 
 
 def _share_records() -> None:
@@ -79,8 +76,8 @@
         key = f"r/{context.service_name}/{str(context.idempotency_key)[:8]}"
         return agent.locate(key, context.key_date)
 
-    _replace(RequestClaims, "_locate", locate)
-    _replace(RequestClaims, "digest", staticmethod(lambda _context: ""))
+    replace_attribute(RequestClaims, "_locate", locate)
+    replace_attribute(RequestClaims, "digest", staticmethod(lambda _context: ""))
 
 
 def _claim_nothing_ran() -> None:
@@ -89,7 +86,7 @@
     async def check(_self: RefusalFilter, _context: RequestContext, problem: Problem) -> None:
         problem.outcome = OUTCOME_NOT_RUN
 
-    _replace(RefusalFilter, "_check_outcome", check)
+    replace_attribute(RefusalFilter, "_check_outcome", check)
 
 
 def _forward_without_claim() -> None:
@@ -98,12 +95,12 @@
     async def forward(_self: ClaimFilter, context: RequestContext, following: Next) -> Answer:
         return await following(context)
 
-    _replace(ClaimFilter, "__call__", forward)
+    replace_attribute(ClaimFilter, "__call__", forward)
 
 
 def _route_to_leaving() -> None:
     """Back ends stay in routing whatever is reported of them."""
-    _replace(Router, "_refusal", lambda *_args: None)
+    replace_attribute(Router, "_refusal", lambda *_args: None)
 
 
 def _stop_at_once() -> None:
@@ -114,12 +111,12 @@
             transport.force_close()
         await self.close()
 
-    _replace(Node, "stop_gracefully", stop)
+    replace_attribute(Node, "stop_gracefully", stop)
 
 
 def _serve_without_lease() -> None:
     """A node serves under whatever revision it has."""
-    _replace(ConfigurationLease, "is_held", lambda self: self.snapshot.revision > 0)
+    replace_attribute(ConfigurationLease, "is_held", lambda self: self.snapshot.revision > 0)
 
 
 WEAKENINGS: dict[str, Weakening] = {
