--- a/src/crankseam_experiments/auditor.py
+++ b/src/crankseam_experiments/auditor.py
@@ -26,6 +26,7 @@
 LEAVING_S = 2.0
 """A leaving back end gets no new work later than this after the first sign."""
 MAX_EXAMPLES = 5
+"""Violations of one promise that a report spells out."""
 
 Entry = dict[str, Any]
 
--- a/src/crankseam_experiments/comparison.py
+++ b/src/crankseam_experiments/comparison.py
@@ -1,4 +1,8 @@
-"""Runs one load under several policies, paired by seed, and compares them."""
+"""Runs one load under several policies, paired by seed, and compares them.
+
+Owns the table of medians and pairs. Relies on `runner` for each single run; a report is written
+after each seed, so that a comparison cut short leaves what it has.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_experiments/experiment_run.py
+++ b/src/crankseam_experiments/experiment_run.py
@@ -28,6 +28,7 @@
 from crankseam_standins.trainer import TrainerPlan, TrainerStandin
 
 WATCH_S = 0.25
+"""Between two looks at what each node serves under."""
 
 
 class ExperimentRun:
@@ -125,7 +126,7 @@
             async with self.fleet.session.get(url, timeout=timeout) as answer:
                 status = await answer.json()
         except (aiohttp.ClientError, TimeoutError, ValueError):
-            return
+            return  # a node that is down, cut off or frozen serves under nothing
         sample = RevisionSample(time.time(), name, status["ready"], status["revision"])
         self.evidence.revisions.append(sample)
 
@@ -137,7 +138,7 @@
                 async with self.fleet.session.get(f"http://{sampler.address}/_account") as answer:
                     account = await answer.json()
             except (aiohttp.ClientError, TimeoutError):
-                continue
+                continue  # it was killed last: the report lacks its figures
             self.sampler_totals[sampler.name] = {
                 name: account[name] for name in ("tokens", "busy_seconds", "seconds")
             }
@@ -150,7 +151,7 @@
                 async with self.fleet.session.get(f"http://{address}/metrics") as answer:
                     text = await answer.text()
             except (aiohttp.ClientError, TimeoutError):
-                continue
+                continue  # it was killed last: the report lacks its figures
             lines = [line.split() for line in text.splitlines() if not line.startswith("#")]
             values = {line[0]: float(line[1]) for line in lines}
             self.control[name] = {item: values[f"crankseam_{item}"] for item in wanted}
--- a/src/crankseam_experiments/fault_injection.py
+++ b/src/crankseam_experiments/fault_injection.py
@@ -1,4 +1,9 @@
-"""Injects faults into a running fleet, chosen and timed by the seed."""
+"""Injects faults into a running fleet, chosen and timed by the seed.
+
+Owns which faults are under way and which nodes and stand-ins they hold, so that two do not meet at
+one. Each method `_NAME` carries out the fault that an experiment file calls NAME. What the auditor
+must know (planned stops, leaving back ends, accepted changes) goes into the run's evidence.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +21,11 @@
 from crankseam_experiments.experiment_run import ExperimentRun
 
 RECOVERY_TIMEOUT_S = 40.0
+"""A node that is not ready by then counts as recovered after this."""
 LEAVE_S = 5.0
+"""A back end says so long that it is leaving; it must get no work after 2 s of it."""
 LONG_CUT_S = 9.0
+"""Longer than `configuration_term` and `dead_after` together."""
 
 
 class FaultInjector:
--- a/src/crankseam_experiments/fleet.py
+++ b/src/crankseam_experiments/fleet.py
@@ -1,4 +1,8 @@
-"""A fleet of separate processes: stand-ins, nodes, and the links between nodes."""
+"""A fleet of separate processes: stand-ins, nodes, and the links between nodes.
+
+Owns the processes and their settings files. Nodes listen on 127.0.BASE.N with the same ports, so
+two fleets at a time need different bases.
+"""
 
 from __future__ import annotations
 
@@ -20,9 +24,13 @@
 from crankseam_experiments.spec import Experiment
 
 CALLER_PORT = 7080
+"""Of every node, on its own loopback address."""
 PEER_PORT = 7081
+"""Where a node listens to other nodes."""
 PROXY_PORT = 7082
+"""Where other nodes reach it if its links can be cut."""
 READY_TIMEOUT_S = 40.0
+"""Until all nodes take work; a busy machine needs most of it."""
 
 
 class Fleet:
@@ -169,7 +177,7 @@
             async with self.session.get(f"http://{address}/readyz") as answer:
                 return answer.status == 200
         except (aiohttp.ClientError, TimeoutError):
-            return False
+            return False  # down or frozen: not ready
 
     async def order_fault(self, address: str, **fault: Any) -> None:
         """Ask a stand-in for a fault."""
--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -1,4 +1,8 @@
-"""Measures what one node adds to a small app request: straight and through a node, in turn."""
+"""Measures what one node adds to a small app request: straight and through a node, in turn.
+
+The table of README.md is made by it. Ways take turns within one run, so that the machine's load
+weighs on all alike.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,9 @@
 from crankseam_experiments.spec import Experiment
 
 REQUESTS = 2000
+"""Measured each way: enough that 20 lie above the 99th percentile."""
 WARM_UP = 200
+"""Sent each way before, and not counted."""
 BODY = b"slot-1"
 WAYS = ("straight", "node_read", "node_claimed")
 
--- a/src/crankseam_experiments/links.py
+++ b/src/crankseam_experiments/links.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 
 CHUNK_BYTES = 64 * 1024
+"""Read at a time."""
 
 
 @dataclass
@@ -38,7 +39,7 @@
             try:
                 upstream = await asyncio.open_connection(host, peer_port)
             except OSError:
-                writer.close()
+                writer.close()  # the node is down: its caller sees a closed connection
                 return
             there = asyncio.create_task(self._pipe(reader, upstream[1], caller, host))
             back = asyncio.create_task(self._pipe(upstream[0], writer, host, caller))
@@ -61,7 +62,7 @@
                 writer.write(data)
                 await writer.drain()
         except (OSError, asyncio.CancelledError):
-            pass
+            pass  # one end is gone, or the run is over: the other end is closed below
         finally:
             writer.close()
 
--- a/src/crankseam_experiments/plots.py
+++ b/src/crankseam_experiments/plots.py
@@ -1,4 +1,7 @@
-"""Plots and pages of reports: one HTML file, offline, with the figures inside."""
+"""Plots and pages of reports: one HTML file, offline, with the figures inside.
+
+Owns the page's form. Relies on matplotlib and on the accounts that stand-ins wrote.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_experiments/processes.py
+++ b/src/crankseam_experiments/processes.py
@@ -1,4 +1,7 @@
-"""Starts and signals the processes of an experiment. A rig, not part of the system."""
+"""Starts and signals the processes of an experiment. A rig, not part of the system.
+
+Owns each process that it started and nothing else; the commands of stand-ins and nodes stand here.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,11 @@
 import aiohttp
 
 START_TIMEOUT_S = 30.0
+"""Until a process answers at its health URL."""
 STOP_TIMEOUT_S = 15.0
+"""From SIGTERM to a kill."""
 POLL_S = 0.05
+"""Between two looks at a health URL."""
 
 
 class ProcessFailed(Exception):
@@ -53,7 +59,7 @@
                         if answer.status == 200:
                             return
                 except aiohttp.ClientError:
-                    pass
+                    pass  # not up yet
                 await asyncio.sleep(POLL_S)
 
     def is_running(self) -> bool:
--- a/src/crankseam_experiments/report.py
+++ b/src/crankseam_experiments/report.py
@@ -1,4 +1,8 @@
-"""Turns one run's evidence and the clients' own figures into its report."""
+"""Turns one run's evidence and the clients' own figures into its report.
+
+Times are seconds unless a name ends in `_ms`; versions are counted, not timed. A run passes if all
+samples came once, no promise was broken and every process ended well.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_experiments/runner.py
+++ b/src/crankseam_experiments/runner.py
@@ -20,8 +20,11 @@
 from crankseam_experiments.weakened_node import WEAKENINGS
 
 CONTROL_FAULTS = 6
+"""Faults of a control run; each shows the missing mechanism. Origin not recorded."""
 CONTROL_IN_FORCE_S = 5.0
+"""Bound of a change in a control run; the 15 s of other runs would hide what is missing."""
 LOAD_TIMEOUT_S = 400.0
+"""Until all clients are done; then the run has failed."""
 
 
 async def run_load(run: ExperimentRun) -> None:
--- a/src/crankseam_experiments/spec.py
+++ b/src/crankseam_experiments/spec.py
@@ -1,4 +1,8 @@
-"""Experiment files: TOML, checked in one place."""
+"""Experiment files: TOML, checked in one place.
+
+Owns the form of these files; fields are documented where they stand. Whatever is wrong in a file is
+reported at once, with its line.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_standins/account.py
+++ b/src/crankseam_standins/account.py
@@ -1,4 +1,8 @@
-"""A stand-in's own account of what happened, kept as JSON lines that outlive a crash."""
+"""A stand-in's own account of what happened, kept as JSON lines that outlive a crash.
+
+The auditor reads nothing else of what stand-ins saw. Each entry is written unbuffered as it
+happens.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_standins/app.py
+++ b/src/crankseam_standins/app.py
@@ -1,4 +1,8 @@
-"""Stand-in of an app back end: books slots or takes orders, and keeps account of what ran."""
+"""Stand-in of an app back end: books slots or takes orders, and keeps account of what ran.
+
+Its answer can be worked out from the request (`expected_answer`), so a caller can tell whether it
+got its own.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +18,7 @@
 from crankseam_standins.faults import Faults
 
 PADDING_BYTES = 200
+"""Makes an answer some 300 bytes long, the size that docs/CAPACITY.md reckons with."""
 
 
 def expected_answer(operation: str, body: bytes) -> str:
--- a/src/crankseam_standins/caller.py
+++ b/src/crankseam_standins/caller.py
@@ -1,4 +1,9 @@
-"""Stand-in of app callers: sends requests, retries as it is told, writes down what it was told."""
+"""Stand-in of app callers: sends requests, retries as it is told, writes down what it was told.
+
+Callers of `crankseam node`: one key for each operation, problem documents, deadlines. The soak's
+callers (`crankseam_platform_standins.soak.load`) speak the platform's wire and bring jobs; the two
+share only that they draw a process and wait.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,9 @@
 from crankseam_standins.app import expected_answer
 
 MAX_ATTEMPTS = 6
+"""A caller gives an operation up after so many."""
 MAX_WAIT_S = 3.0
+"""A longer `Retry-After` is cut to this, so that a run ends."""
 
 
 @dataclass(frozen=True)
--- a/src/crankseam_standins/faults.py
+++ b/src/crankseam_standins/faults.py
@@ -1,4 +1,8 @@
-"""Faults that a stand-in can be asked for over `POST /_faults`."""
+"""Faults that a stand-in can be asked for over `POST /_faults`.
+
+Owns the faults in force at one stand-in. Those that concern every request (down, slow, rate) are
+applied before its handlers; the others are read by the stand-in where they strike.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_standins/key_value.py
+++ b/src/crankseam_standins/key_value.py
@@ -1,4 +1,9 @@
-"""Stand-in of the key-value service: the part of the etcd v3 HTTP/JSON gateway that is used."""
+"""Stand-in of the key-value service: the part of the etcd v3 HTTP/JSON gateway that is used.
+
+Keys, revisions, leases and watches as that gateway shows them, each key with its counts. The
+in-memory store of the platform side (`memory_store`) has pages, compacted history and writes that
+take effect late, which etcd's clients here do not ask for; the two are kept apart on purpose.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +20,7 @@
 from crankseam_standins.faults import FaultOrder, Faults, lose_answer
 
 LEASE_SWEEP_S = 0.05
+"""A lease that ran out is noticed within this."""
 
 
 @dataclass
@@ -209,7 +215,7 @@
                     continue
                 await response.write(msgspec.json.encode({"result": {"events": [event]}}) + b"\n")
         except ConnectionError:
-            pass
+            pass  # the watcher left
         finally:
             self._watchers.discard(entry)
         return response
--- a/src/crankseam_standins/machine_list.py
+++ b/src/crankseam_standins/machine_list.py
@@ -1,4 +1,7 @@
-"""Stand-in of the platform's machine list: serves what it was told, late."""
+"""Stand-in of the platform's machine list: serves what it was told, late.
+
+Owns the list and its lag, in seconds.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_standins/memory_store.py
+++ b/src/crankseam_standins/memory_store.py
@@ -1,4 +1,9 @@
-"""An in-memory coordination store with revisions, leases, watches and faults to switch on."""
+"""An in-memory coordination store with revisions, leases, watches and faults to switch on.
+
+Implements `crankseam.coordination.interface.CoordinationStore`; shared by all its clients in one
+process, and served over the platform's wire by `crankseam_platform_standins.store_server`.
+Durations are seconds of the monotonic clock; a lease that ran out is noticed at the next call.
+"""
 
 from __future__ import annotations
 
@@ -20,6 +25,7 @@
 from crankseam.errors import KeyValueOutcomeUnknown, KeyValueUnavailable
 
 PAGE_ENTRIES = 3
+"""Few, so that tests read more than one page."""
 
 
 @dataclass
@@ -126,7 +132,7 @@
                 async with asyncio.timeout(min(0.02, max(0.0, end - time.monotonic()))):
                     await self._changed.wait()
             except TimeoutError:
-                pass
+                pass  # time to look whether the wait is over
 
     async def commit(self, transaction: Transaction) -> int:
         """See CoordinationStore."""
--- a/src/crankseam_standins/ports.py
+++ b/src/crankseam_standins/ports.py
@@ -1,4 +1,7 @@
-"""Loopback ports for listeners that start later."""
+"""Loopback ports for listeners that start later.
+
+Owns the ports that this process gave out, so that it gives none out twice.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 
 EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 DEFAULT_FIRST_EPHEMERAL = 32768
+"""First port of the range that Linux gives outgoing connections by default."""
 CANDIDATES = 12000
 """Ports below the ephemeral ones that are drawn from."""
 
--- a/src/crankseam_standins/prefix_cache.py
+++ b/src/crankseam_standins/prefix_cache.py
@@ -1,4 +1,8 @@
-"""Prefix cache of the sampler emulator."""
+"""Prefix cache of the sampler emulator.
+
+Owns the blocks of prompts in the emulated memory, least recently used first out. Words stand for
+tokens.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam_standins/sampler.py
+++ b/src/crankseam_standins/sampler.py
@@ -1,4 +1,10 @@
-"""Emulator of a model engine: continuous batching, prefix cache, priorities, fenced orders."""
+"""Emulator of a model engine: continuous batching, prefix cache, priorities, fenced orders.
+
+Owns the engine's queue, its running sequences and its weights. Its times are assumptions
+(`sampler_parameters`), divided by the time scale. A whole sample can be worked out from its
+prompt, so the auditor can check each token. Samplers of the users' platform have a stand-in of
+their own, another wire without an engine: `crankseam_platform_standins.sampler_server`.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +27,11 @@
 from crankseam_standins.sampler_parameters import SamplerParameters
 
 VOCABULARY = 50_000
-MIN_SLEEP = 0.001
+"""Tokens are numbers below this."""
+MIN_SLEEP_S = 0.001
+"""Shorter steps are added up and slept at once."""
 NO_BOUND = 1_000_000
+"""Tokens; more than any sample has."""
 
 
 def sample_length(parameters: SamplerParameters, prompt: str, max_tokens: int) -> int:
@@ -143,7 +152,7 @@
             self._note_load()
             # Very short steps are slept in one go, so that scaled time stays exact on average.
             owed += self._scaled(seconds)
-            if owed >= MIN_SLEEP:
+            if owed >= MIN_SLEEP_S:
                 before = time.monotonic()
                 await asyncio.sleep(owed)
                 owed -= time.monotonic() - before
@@ -250,7 +259,7 @@
         try:
             await self._stream(response, sequence)
         except ConnectionError:
-            pass
+            pass  # the caller left: its sequence is cancelled below
         finally:
             sequence.cancelled = True
         return response
--- a/src/crankseam_standins/trainer.py
+++ b/src/crankseam_standins/trainer.py
@@ -23,8 +23,11 @@
 from crankseam_standins.sampler_parameters import SamplerParameters
 
 FIRST_VERSION = 1
+"""The weights that samplers serve when they start."""
 RETRY_S = 0.2
+"""Before a call that failed is made again."""
 STREAM_SILENCE_S = 30.0
+"""A stream of samples that is silent for so long is opened anew."""
 
 
 @dataclass(frozen=True)
@@ -142,7 +145,7 @@
                     if answer.status == 200:
                         return
             except aiohttp.ClientError:
-                pass
+                pass  # the store did not take it: tried again until it does
             await asyncio.sleep(RETRY_S)
 
     # --- one step
@@ -216,7 +219,7 @@
                 async for line in answer.content:
                     self._take(line, step, version, received)
         except (aiohttp.ClientError, TimeoutError, ConnectionError, ValueError):
-            return False
+            return False  # the stream broke: the caller asks another node for what is missing
         return len(received) == len(samples)
 
     def _take(self, line: bytes, step: int, version: int, received: set[int]) -> None:
--- a/src/crankseam_standins/weight_store.py
+++ b/src/crankseam_standins/weight_store.py
@@ -1,4 +1,7 @@
-"""Stand-in of the weight store: an index, and ranged reads under a rate limit."""
+"""Stand-in of the weight store: an index, and ranged reads under a rate limit.
+
+Owns the published versions by pool; the weights themselves are zeros.
+"""
 
 from __future__ import annotations
 
