--- a/src/crankseam/cli/apply.py
+++ b/src/crankseam/cli/apply.py
@@ -35,7 +35,8 @@
 from crankseam.config.snapshot import Pointer
 from crankseam.errors import ApplyConflict
 
-POLL_SECONDS = 0.2
+POLL_S = 0.2
+"""How often a node is asked whether the revision is in force. Origin not recorded."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -102,8 +103,8 @@
         while time.monotonic() < deadline:
             try:
                 status: dict[str, Any] = await ask_nodes(arguments.node, "/operator/status", tls)
-            except NodeUnreachable:
-                await asyncio.sleep(POLL_SECONDS)
+            except NodeUnreachable:  # another try, until the deadline
+                await asyncio.sleep(POLL_S)
                 continue
             living = [m for m in status["members"] if m["status"] != "dead"]
             done = sum(member["revision"] >= revision for member in living)
@@ -112,5 +113,5 @@
             progress.refresh()
             if done == len(living):
                 return True
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_S)
     return False
--- a/src/crankseam/cli/common.py
+++ b/src/crankseam/cli/common.py
@@ -1,4 +1,8 @@
-"""Arguments and helpers that several verbs share."""
+"""Arguments and helpers that several verbs share.
+
+Owns names and help texts of shared flags. Any node can be asked; the first that answers is
+believed.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,8 @@
 from crankseam.errors import CrankseamError
 
 T = TypeVar("T")
-NODE_TIMEOUT_SECONDS = 5.0
+NODE_TIMEOUT_S = 5.0
+"""For one node's answer, before the next one is asked. Origin not recorded."""
 
 
 class NodeUnreachable(CrankseamError):
@@ -90,7 +95,7 @@
     Raises:
         NodeUnreachable: none gave an answer.
     """
-    timeout = aiohttp.ClientTimeout(total=NODE_TIMEOUT_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=NODE_TIMEOUT_S)
     problems = []
     async with aiohttp.ClientSession(timeout=timeout) as session:
         for node in nodes:
--- a/src/crankseam/cli/exit_codes.py
+++ b/src/crankseam/cli/exit_codes.py
@@ -1,6 +1,7 @@
 """Exit codes of the command, as documented in docs/operators/command-line.md."""
 
 OK = 0
+"""The work was done."""
 FAILED = 1
 """The work was done and found a failure, such as a violation in an experiment."""
 INVALID = 2
--- a/src/crankseam/clients/key_value.py
+++ b/src/crankseam/clients/key_value.py
@@ -1,4 +1,9 @@
-"""Client of the key-value service: the etcd v3 HTTP/JSON gateway (range, txn, lease, watch)."""
+"""Client of the key-value service: the etcd v3 HTTP/JSON gateway (range, txn, lease, watch).
+
+Owns its connections, the rate at which this process calls, and which gateway is asked. A failed
+call is not tried again here; a write whose answer was lost raises KeyValueOutcomeUnknown and may
+have taken effect.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +23,11 @@
     KeyValueUnavailable,
 )
 
-REQUESTS_PER_SECOND = 20.0
+REQUESTS_PER_S = 20.0
+"""Calls that one process may make in the mean, so that none uses up the service's rate. Origin not
+recorded."""
 BURST = 40.0
+"""Calls that it may make at once after a pause. Origin not recorded."""
 
 
 @dataclass(frozen=True)
@@ -86,7 +94,7 @@
     def __init__(self, endpoints: list[str], timeout: float = 2.0) -> None:
         self._endpoints = endpoints
         self._timeout = aiohttp.ClientTimeout(total=timeout)
-        self._bucket = TokenBucket(REQUESTS_PER_SECOND, BURST)
+        self._bucket = TokenBucket(REQUESTS_PER_S, BURST)
         self._session: aiohttp.ClientSession | None = None
         self._current = 0
         self.requests_sent = 0
--- a/src/crankseam/clients/key_value_transactions.py
+++ b/src/crankseam/clients/key_value_transactions.py
@@ -1,4 +1,8 @@
-"""Transactions of the coordination interface on the key-value service."""
+"""Transactions of the coordination interface on the key-value service.
+
+Owns nothing: it lets `quarantine/` write through `crankseam node`'s client as it does through the
+store of the users' platform. A conflict tells what stands now, at the price of one read a key.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/clients/load_report.py
+++ b/src/crankseam/clients/load_report.py
@@ -1,4 +1,7 @@
-"""Reads a back end's load from its Prometheus text."""
+"""Reads a back end's load from its Prometheus text.
+
+Owns which metrics count, with or without an engine's prefix. A report may lag behind what runs.
+"""
 
 from __future__ import annotations
 
@@ -55,4 +58,4 @@
             answer.raise_for_status()
             return parse_load_report(await answer.text())
     except (aiohttp.ClientError, TimeoutError, ValueError):
-        return None
+        return None  # the caller counts and reports it: a watcher, or a probe before sending
--- a/src/crankseam/clients/machine_list.py
+++ b/src/crankseam/clients/machine_list.py
@@ -1,4 +1,8 @@
-"""Client of the platform's list of machines: polled JSON, which lags behind the truth."""
+"""Client of the platform's list of machines: polled JSON, which lags behind the truth.
+
+Owns its connection. A list that cannot be read is empty and logged; nothing may be concluded from
+that.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,8 @@
 
 log = logging.getLogger(__name__)
 
-TIMEOUT_SECONDS = 2.0
+TIMEOUT_S = 2.0
+"""For one reading of the list. Origin not recorded."""
 
 
 class Machine(msgspec.Struct, frozen=True):
@@ -39,7 +44,7 @@
         """The machines listed now; empty when the list cannot be read."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
         try:
             async with self._session.get(self._url, timeout=timeout) as answer:
                 answer.raise_for_status()
--- a/src/crankseam/clients/sampler.py
+++ b/src/crankseam/clients/sampler.py
@@ -1,4 +1,8 @@
-"""Client of samplers: OpenAI-style completions over server-sent events, and fenced orders."""
+"""Client of samplers: OpenAI-style completions over server-sent events, and fenced orders.
+
+Owns the forms of both. Relies on the sampler's own word for the version of each chunk. Nothing is
+tried again here; each error says whether tokens may have been generated.
+"""
 
 from __future__ import annotations
 
@@ -13,6 +17,13 @@
 DATA_PREFIX = b"data: "
 END_OF_STREAM = b"[DONE]"
 REASON_BOUND = "length"
+"""`finish_reason` of a completion that ended at its max_tokens."""
+CONNECT_TIMEOUT_S = 1.0
+"""Of a completion or order. Origin not recorded."""
+STATE_TIMEOUT_S = 2.0
+"""For reading what a sampler serves. Origin not recorded."""
+ORDER_TIMEOUT_S = 120.0
+"""For an order; loading a version takes tens of seconds. Origin not recorded."""
 
 
 class SamplerError(CrankseamError):
@@ -103,7 +114,9 @@
             "priority": request.priority,
             "request_id": request.request_id,
         }
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=1.0, sock_read=self._silence)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=self._silence
+        )
         url = f"http://{address}/v1/completions"
         try:
             async with self._session.post(url, json=body, timeout=timeout) as answer:
@@ -122,7 +135,7 @@
     async def state(self, address: str) -> SamplerState:
         """What the sampler serves and has loaded. Raises SamplerError."""
         try:
-            timeout = aiohttp.ClientTimeout(total=2.0)
+            timeout = aiohttp.ClientTimeout(total=STATE_TIMEOUT_S)
             url = f"http://{address}/admin/state"
             async with self._session.get(url, timeout=timeout) as answer:
                 answer.raise_for_status()
@@ -139,7 +152,7 @@
         await self._order(address, "switch", {"version": version, "fence": fence})
 
     async def _order(self, address: str, order: str, body: dict[str, int | str]) -> None:
-        timeout = aiohttp.ClientTimeout(total=120.0, sock_connect=1.0)
+        timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S)
         url = f"http://{address}/admin/{order}"
         try:
             async with self._session.post(url, json=body, timeout=timeout) as answer:
--- a/src/crankseam/clients/weight_store.py
+++ b/src/crankseam/clients/weight_store.py
@@ -1,4 +1,8 @@
-"""Client of the weight store: a JSON index, and ranged GETs that may be answered 429 or 503."""
+"""Client of the weight store: a JSON index, and ranged GETs that may be answered 429 or 503.
+
+Owns no connection of its own and tries nothing twice: what a caller does after a WeightStoreError
+is its own matter.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +14,14 @@
 
 from crankseam.errors import CrankseamError
 
-READ_SECONDS = 30.0
-"""Silence after which a read is given up."""
+READ_SILENCE_S = 30.0
+"""Silence after which a read is given up. Origin not recorded."""
+CONNECT_TIMEOUT_S = 1.0
+"""Origin not recorded."""
+INDEX_TIMEOUT_S = 3.0
+"""For the whole index. Origin not recorded."""
 CHUNK_BYTES = 4 * 1024 * 1024
+"""Written to the file at a time, in a thread. Origin not recorded."""
 
 
 class WeightStoreError(CrankseamError):
@@ -33,7 +42,7 @@
 
     async def versions(self, address: str, pool: str) -> list[int]:
         """Published versions of a pool. Raises WeightStoreError."""
-        timeout = aiohttp.ClientTimeout(total=3.0)
+        timeout = aiohttp.ClientTimeout(total=INDEX_TIMEOUT_S)
         url = f"http://{address}/pools/{pool}/versions"
         try:
             async with self._session.get(url, timeout=timeout) as answer:
@@ -48,7 +57,9 @@
         Raises:
             WeightStoreError: also on the store's 429 and 503; the file may be half written.
         """
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=1.0, sock_read=READ_SECONDS)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_SILENCE_S
+        )
         url = self.source(address, pool, version)
         try:
             async with self._session.get(url, timeout=timeout) as answer:
--- a/src/crankseam/config/changes.py
+++ b/src/crankseam/config/changes.py
@@ -1,4 +1,9 @@
-"""Plans a change against the accepted configuration, and applies it whole or not at all."""
+"""Plans a change against the accepted configuration, and applies it whole or not at all.
+
+Owns the order of writes: content-addressed parts first, then one transaction that swings the
+pointer and writes the history entry. Relies on the key-value service's compare-and-swap; a lost
+answer is settled by reading the history entry back.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +22,10 @@
 from crankseam.errors import ApplyConflict, KeyValueOutcomeUnknown, KeyValueUnavailable
 
 SETTLE_ATTEMPTS = 20
-SETTLE_PAUSE_SECONDS = 0.5
+"""Tries to learn what became of a write whose answer was lost: 10 s with the pause. Origin not
+recorded."""
+SETTLE_PAUSE_S = 0.5
+"""Between two of them. Origin not recorded."""
 
 
 @dataclass(frozen=True)
@@ -147,7 +155,7 @@
             await key_value.transact([], [Put(key, stored)])
             return
         except KeyValueOutcomeUnknown:
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(SETTLE_PAUSE_S)
     raise KeyValueUnavailable("a part could not be written; nothing was accepted")
 
 
@@ -158,7 +166,7 @@
         try:
             found = await key_value.get(key)
         except KeyValueUnavailable:
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(SETTLE_PAUSE_S)
             continue
         if found is None:
             return False
--- a/src/crankseam/config/kinds.py
+++ b/src/crankseam/config/kinds.py
@@ -1,4 +1,8 @@
-"""The kinds of declarative documents, each a strict model with one concern."""
+"""The kinds of declarative documents, each a strict model with one concern.
+
+Owns the names and defaults that operators write in files, and with them the stored bytes of the
+documents and `crankseam schema`.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field
 
 _DURATION = re.compile(r"^(\d+(?:\.\d+)?)(ms|s|m|h)$")
-_SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
+_UNIT_S = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 
 
 def parse_duration(value: Any) -> float:
@@ -18,7 +22,7 @@
     match = _DURATION.match(value) if isinstance(value, str) else None
     if match is None:
         raise ValueError("a duration with its unit, such as 250ms, 10s, 5m or 1h")
-    return float(match.group(1)) * _SECONDS[match.group(2)]
+    return float(match.group(1)) * _UNIT_S[match.group(2)]
 
 
 Duration = Annotated[float, BeforeValidator(parse_duration, json_schema_input_type=str)]
--- a/src/crankseam/config/reader.py
+++ b/src/crankseam/config/reader.py
@@ -1,4 +1,8 @@
-"""Reads YAML documents and reports every wrong field with file, line and what was expected."""
+"""Reads YAML documents and reports every wrong field with file, line and what was expected.
+
+Owns the errors of one reading, which are raised together. Relies on `kinds` for what a document may
+hold; names that documents share are checked here.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,9 @@
 from crankseam.errors import FieldError, InvalidConfiguration
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
+"""Largest file that is read. Origin not recorded."""
 MAX_NESTING = 32
+"""Levels of a document, far above what any kind has, so that nothing recurses without bound."""
 
 
 @dataclass(frozen=True)
--- a/src/crankseam/config/snapshot.py
+++ b/src/crankseam/config/snapshot.py
@@ -1,4 +1,8 @@
-"""A configuration at one revision, as nodes hold it and as it is stored in parts."""
+"""A configuration at one revision, as nodes hold it and as it is stored in parts.
+
+Owns the stored bytes of the pointer and the parts. Relies on `kinds` for the documents. Snapshots
+are not changed once built.
+"""
 
 from __future__ import annotations
 
