--- a/src/crankseam/back_end_probe.py
+++ b/src/crankseam/back_end_probe.py
@@ -1,7 +1,13 @@
-"""Asks a back end itself whether it may get work, where its watchers cannot be heard.
+"""May a back end get work whose watchers are not heard?
 
-Whether a back end is leaving is known from the watchers of its zone. While a zone is cut off from
-this node, but its back ends are not, that news does not come; then the node looks for itself.
+Inputs: seconds since the last news of the back end's zone, and the back end's own load report, at
+most `CACHE_S` old.
+Rule: while the zone is heard, its watchers' word is taken. Where it was silent for
+`SILENT_HEARTBEATS`, the back end is asked itself and gets work only if it answers and is not
+leaving.
+Protects: a back end that leaves during a cut gets no work, and one that is reached goes on.
+Shown by: the next attempt among the decisions of `crankseam explain`. Held by:
+tests/requests/test_app_requests.py; docs/design/06-membership.md.
 """
 
 from __future__ import annotations
@@ -16,7 +22,8 @@
 from crankseam.cluster.digest import DigestTable
 from crankseam.config.kinds import BackEnd
 
-CACHE_SECONDS = 0.5
+CACHE_S = 0.5
+"""How long a back end's own report is used again. Origin not recorded."""
 SILENT_HEARTBEATS = 1.4
 """A zone without news for this many heartbeats is not heard: news comes once a heartbeat."""
 
@@ -54,7 +61,7 @@
 
     async def _look(self, address: str) -> LoadReport | None:
         seen = self._seen.get(address)
-        if seen is None or self._clock() - seen.at > CACHE_SECONDS:
+        if seen is None or self._clock() - seen.at > CACHE_S:
             # Dated before the question: what is reused is no older than it seems.
             asked_at = self._clock()
             report = await fetch_load_report(self._session, address, self._timeout)
--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -4,7 +4,8 @@
 replica sets. Relies on `zone_order` for its relays and parent; the answer to a heartbeat carries
 the newest reading of the configuration register and, from the parent only, what changed anywhere,
 since one node could not send that to a whole zone within its share of traffic. Relays hold no state
-that others depend on: any member can answer a heartbeat."""
+that others depend on: any member can answer a heartbeat.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/constants.py
+++ b/src/crankseam/constants.py
@@ -1,4 +1,8 @@
-"""Names that several modules share. Times are seconds unless the name says otherwise."""
+"""Names that several modules share: stored keys, headers, outcomes and bounds.
+
+All of them are seen by others (the key-value service, callers, back ends) and stay as they are.
+Times are seconds unless the name says otherwise.
+"""
 
 KEY_PREFIX = "/crankseam"
 """Every key in the key-value service starts with this."""
@@ -13,9 +17,14 @@
 STATE_PREFIX = f"{KEY_PREFIX}/state/"
 
 REPLICAS_PER_SLOT = 3
+"""One may be lost while a majority still answers; one a zone, of three."""
 MAX_FRAME_BYTES = 16 * 1024 * 1024
+"""Largest message between nodes; a larger one ends its connection. Origin not recorded."""
 MAX_STORED_ANSWER_BYTES = 64 * 1024
+"""Largest answer that a request's record keeps to be given again; of a larger one it only says that
+the request ran. Origin not recorded."""
 MAX_REQUEST_BODY_BYTES = 4 * 1024 * 1024
+"""Largest body of an app request. Origin not recorded."""
 
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 REQUEST_ID_HEADER = "Request-Id"
--- a/src/crankseam/controllers/duty.py
+++ b/src/crankseam/controllers/duty.py
@@ -6,7 +6,8 @@
 `coordination/duty` is its counterpart on the users' platform, and differs by intent: there a
 process has one lease for all it holds, learns of the holder by following the keys, leaves the duty
 to a former holder for a moment, and pauses between two holders; here a holder gives up a margin
-before its term instead. The keys differ too, so neither can hold the other's."""
+before its term instead. The keys differ too, so neither can hold the other's.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/controllers/retention.py
+++ b/src/crankseam/controllers/retention.py
@@ -1,7 +1,8 @@
 """Bounds memory: drops records that are older than the retention, and stale digest entries.
 
 Owns the interval of the sweep. Relies on the replica store and the digest to drop what it names,
-and on the file of known peers, which it renews on the way."""
+and on the file of known peers, which it renews on the way.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/decisions.py
+++ b/src/crankseam/decisions.py
@@ -1,7 +1,8 @@
 """Decisions: what was seen, which candidates there were, why each was refused, what was chosen.
 
-Each node keeps its newest decisions and sends them in batches to two other nodes, so that they
-can be asked for after their maker has died.
+Owns this node's newest decisions and copies of others'. Relies on two other nodes, chosen by rank,
+to keep copies, so that they can be asked for after their maker has died. A lost copy costs history,
+never correctness.
 """
 
 from __future__ import annotations
@@ -25,9 +26,13 @@
 from crankseam.records.slots import ranked
 
 KEPT_DECISIONS = 20_000
-BATCH_SECONDS = 0.2
+"""Decisions that a node holds, its own and copies; the oldest go first. Origin not recorded."""
+BATCH_S = 0.2
+"""Between two batches to the nodes that keep copies. Origin not recorded."""
 COPIES = 2
+"""Nodes that keep a copy: with the maker as many as replicas of a record."""
 MAX_BATCH = 500
+"""Decisions in one message, which keeps it far below the largest frame. Origin not recorded."""
 
 
 class Candidate(msgspec.Struct):
@@ -109,7 +114,7 @@
     async def run(self) -> None:
         """Copy new decisions in batches until cancelled."""
         while True:
-            await asyncio.sleep(BATCH_SECONDS)
+            await asyncio.sleep(BATCH_S)
             await self.flush()
 
     async def flush(self) -> None:
@@ -166,5 +171,5 @@
                 address, FetchDecision(wanted), DecisionAnswer, timeout
             )
         except PeerError:
-            return []
+            return []  # copies of what that node decided are kept by two others
         return [msgspec.msgpack.decode(item, type=Decision) for item in answer.decisions]
--- a/src/crankseam/errors.py
+++ b/src/crankseam/errors.py
@@ -1,4 +1,7 @@
-"""Every failure of crankseam has a type here; none is a bare string."""
+"""Every failure of crankseam has a type; those that several packages share are here.
+
+Owns the types, statuses and outcomes of problem documents, which callers see.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/logs.py
+++ b/src/crankseam/logs.py
@@ -1,4 +1,9 @@
-"""Structured logs: JSON lines through the standard `logging` module."""
+"""Structured logs of `crankseam node`: JSON lines through the standard `logging` module.
+
+Owns the form of a line: its text names the event, `extra` its fields. `serving/logs` does this on
+the users' platform, and differs by intent: lines have other names for their fields there, events
+come from a catalogue, and the handler never waits for its reader but drops lines and counts them.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/metrics.py
+++ b/src/crankseam/metrics.py
@@ -1,4 +1,10 @@
-"""Prometheus metrics of one node."""
+"""Prometheus metrics of one node.
+
+Owns a registry of its own; gauges are set when the page is asked for. `serving/metrics` does this
+on the users' platform, and differs by intent: it counts log events and calls to the store, and its
+buckets are those of the calls there. The names of both are read by operators and share nothing but
+a prefix.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +14,9 @@
 
 from crankseam.errors import Problem
 
-LATENCY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
+LATENCY_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
+"""Upper bounds of the histogram of a request's time, up to the default deadline. Origin not
+recorded."""
 
 
 class NodeMetrics:
@@ -23,7 +31,7 @@
             "crankseam_request_seconds",
             "Time from arrival to answer",
             ["service"],
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self._registry,
         )
         self._gauges = {
--- a/src/crankseam/node.py
+++ b/src/crankseam/node.py
@@ -1,4 +1,10 @@
-"""One serving node: wires agent, controllers, request chain and rollout together."""
+"""One serving node: makes its parts in order, serves callers, and stops as planned.
+
+Owns the HTTP server, the order in which parts are made, and the planned stop: no new work, running
+work finishes, records and duties are handed over, then what still comes on open connections is
+answered until they are quiet. Relies on the agent for everything that nodes do together; a node
+without one of its controllers does not go on serving.
+"""
 
 from __future__ import annotations
 
@@ -49,11 +55,22 @@
 
 log = logging.getLogger(__name__)
 
-SAMPLER_SILENCE_SECONDS = 10.0
-DRAIN_POLL_SECONDS = 0.05
-LINGER_SECONDS = 0.5
-MAX_LINGER_SECONDS = 5.0
+SAMPLER_SILENCE_S = 10.0
+"""Silence after which a stream counts as broken and its sample goes on elsewhere. Origin not
+recorded."""
+DRAIN_POLL_S = 0.05
+"""How often a planned stop looks whether it may go on. Origin not recorded."""
+LINGER_S = 0.5
+"""Time without a request after which callers' connections count as quiet. Origin not recorded."""
+MAX_LINGER_S = 5.0
+"""Longest wait for that, where callers do not stop sending. Origin not recorded."""
 BACK_END_CONNECTIONS = 1000
+"""Open at a time to all back ends together. Origin not recorded."""
+MAX_HTTP_BODY_BYTES = 16 * 1024 * 1024
+"""Read of any request, trainers' steps among them; app requests are bounded by
+`MAX_REQUEST_BODY_BYTES`. Origin not recorded."""
+ANSWERS_TIMEOUT_S = 1.0
+"""How long the HTTP server waits for open answers when it is closed. Origin not recorded."""
 
 
 class Controller(Protocol):
@@ -87,8 +104,8 @@
             connector=aiohttp.TCPConnector(limit=BACK_END_CONNECTIONS),
             auto_decompress=False,
         )
-        app = web.Application(client_max_size=16 * 1024 * 1024)
-        self._runner = web.AppRunner(app, handle_signals=False, shutdown_timeout=1.0)
+        app = web.Application(client_max_size=MAX_HTTP_BODY_BYTES)
+        self._runner = web.AppRunner(app, handle_signals=False, shutdown_timeout=ANSWERS_TIMEOUT_S)
         await self._bind_agent()
         self._build(app)
         await self._runner.setup()
@@ -137,7 +154,7 @@
 
     def _build_rollout(self, probe: BackEndProbe) -> None:
         agent = self.agent
-        sampler = SamplerClient(self._session, SAMPLER_SILENCE_SECONDS)
+        sampler = SamplerClient(self._session, SAMPLER_SILENCE_S)
         self.executors = StreamExecutors(agent, sampler)
         generator = SampleGenerator(
             self.executors,
@@ -319,19 +336,19 @@
         """
         await self._site.stop()
         try:
-            async with asyncio.timeout(MAX_LINGER_SECONDS):
+            async with asyncio.timeout(MAX_LINGER_S):
                 while not self._is_quiet():  # noqa: ASYNC110 - the passing of time decides
-                    await asyncio.sleep(DRAIN_POLL_SECONDS)
+                    await asyncio.sleep(DRAIN_POLL_S)
         except TimeoutError:
             log.info("callers kept sending to a node that stops")
 
     def _is_quiet(self) -> bool:
         newest = max(self._last_request, self._drained_at)
-        return time.monotonic() - newest >= LINGER_SECONDS
+        return time.monotonic() - newest >= LINGER_S
 
     async def _drain(self) -> None:
         while not self._is_drained():  # noqa: ASYNC110 - counters, not an event, decide
-            await asyncio.sleep(DRAIN_POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def _is_drained(self) -> bool:
         busy = (
--- a/src/crankseam/peers/transport.py
+++ b/src/crankseam/peers/transport.py
@@ -2,7 +2,8 @@
 
 Owns the connections, the numbers that match answers to calls, and the count of what was sent.
 Relies on `messages` for the bytes of a frame and on the handlers that others register. A call ends
-with its answer or a PeerError; nothing is sent a second time."""
+with its answer or a PeerError; nothing is sent a second time.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/problems.py
+++ b/src/crankseam/problems.py
@@ -1,4 +1,8 @@
-"""Problem documents (RFC 9457) for callers."""
+"""Problem documents (RFC 9457) for callers.
+
+Owns their form and the rounding of `Retry-After`: up to whole seconds, at least 1, as the header
+has no smaller unit.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/requests/context.py
+++ b/src/crankseam/requests/context.py
@@ -1,7 +1,8 @@
 """What the filters of the chain know of one request, and the answer they make.
 
 Owns the order of the chain: each filter calls the one after it. A context belongs to one handling
-of one request and is dropped with its answer. Times are seconds of the clock of promises."""
+of one request and is dropped with its answer. Times are seconds of the clock of promises.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -2,7 +2,8 @@
 
 Owns the attempts of one request. Relies on the router for the choice, on `attempts` for whether
 another one may follow, on the quarantine for requests under which back ends ended, and on
-`may_send` for whether this node may act now; that is asked directly before the first byte."""
+`may_send` for whether this node may act now; that is asked directly before the first byte.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -1,7 +1,8 @@
 """First filters: who and what the request is, how long it may take, under which configuration.
 
 Owns the forms of the ids and the deadline header. Relies on the configuration lease for whether
-this node may take new work; the snapshot taken here holds for the whole request."""
+this node may take new work; the snapshot taken here holds for the whole request.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -7,7 +7,8 @@
 `jobs/item_run` does this on the users' platform, and differs by intent: there a place at a sampler
 is assigned before the run and kept, runs may be moved to a faster sampler, results have deadlines,
 and an item is given up after its route's attempts. A sample is made until it is whole or its step
-is over."""
+is over.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/rollout/lengths.py
+++ b/src/crankseam/rollout/lengths.py
@@ -1,7 +1,8 @@
 """Estimates how long samples will be, by their prompt group.
 
 Owns a running mean a group, in tokens, of what this node saw end. A trainer's own estimate goes
-first."""
+first.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -2,7 +2,8 @@
 
 Owns the runs of steps on this node and the queue before each pool. Relies on the configuration
 lease for whether this node may take new work, and on the trainer, who opens a step again on another
-node when this one is gone."""
+node when this one is gone.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -3,7 +3,8 @@
 Owns what this node knows of the step: committed results, what the trainer has, what is being made.
 Relies on `sample_records` for agreement (the first whole result committed wins, whoever made it),
 on `step_rules` and the scheduler for when a sample runs, and on the trainer's cursor for what to
-deliver."""
+deliver.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/settings.py
+++ b/src/crankseam/settings.py
@@ -1,4 +1,9 @@
-"""Settings of one node: a TOML file, overridden by flags, checked in one place."""
+"""Settings of one node: a TOML file, overridden by flags, checked in one place.
+
+Owns names and defaults, which operators rely on. `serving/settings` are those of the users'
+platform: a process there is told other things, and reads some of them anew while it runs. A
+duration has its unit in the file (`250ms`) and is in seconds here.
+"""
 
 from __future__ import annotations
 
@@ -40,20 +45,25 @@
     """Periods and terms; tests shorten them. A sum that matters is noted beside the field."""
 
     heartbeat_interval: Duration = 1.0
+    """Between two heartbeats to a relay; the answer carries the reading of the register."""
     suspect_after: Duration = 1.5
     """Silence after which a member is no longer chosen for new duties."""
     dead_after: Duration = 3.0
-    """Silence after which a member is declared dead; with spreading it stays under 5 s."""
+    """Silence after which a member is declared dead; with spreading it stays under 5 s. Measured at
+    420 nodes with 4 s: deaths were known after 5.7 s in the median (commit ac7ff37)."""
     weights_poll: Duration = 0.5
     """How often a weight coordinator looks for new versions and at its samplers."""
     configuration_term: Duration = 2.5
     """How long a node may serve under a revision after a majority was known to hold it."""
     longest_stall: Duration = 0.5
-    """A process that stood still for longer renews its view before it sends anything new."""
+    """A process that stood still for longer renews its view before it sends anything new: well
+    under the 2 s in which a back end may leave (commit bcabb80)."""
     clock_margin: Duration = 0.1
     """A holder gives up this much earlier than its term, for bounded drift of clock rates."""
     peer_timeout: Duration = 1.0
+    """A call to another node ends after this."""
     record_timeout: Duration = 0.7
+    """A replica that has not answered after this does not count for a round."""
     watch_interval: Duration = 0.5
     """How often a back end's load is read by its watchers."""
     duty_term: Duration = 6.0
--- a/src/crankseam/story.py
+++ b/src/crankseam/story.py
@@ -1,4 +1,8 @@
-"""Finds in log files what happened to one id, and what its processes went through meanwhile."""
+"""Finds in log files what happened to one id, and what its processes went through meanwhile.
+
+Owns which fields name a subject and which events explain what a process did. Relies on the log
+lines of the users' platform (`serving/log_events`); a line that is none is passed over.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,9 @@
         "order_failed",
     }
 )
-MARGIN_SECONDS = 2.0
+MARGIN_S = 2.0
+"""Lines of the same processes this long before and after those of the id are told too. Origin not
+recorded."""
 
 Line = dict[str, Any]
 
@@ -68,7 +74,7 @@
     try:
         line = msgspec.json.decode(raw[start:])
     except msgspec.DecodeError:
-        return None
+        return None  # not a line of a log: other programs write to the same file
     return line if isinstance(line, dict) and "event" in line and "time" in line else None
 
 
@@ -96,8 +102,8 @@
 
 
 def _surroundings(lines: list[Line], own: list[Line]) -> list[Line]:
-    start = float(own[0]["time"]) - MARGIN_SECONDS
-    end = float(own[-1]["time"]) + MARGIN_SECONDS
+    start = float(own[0]["time"]) - MARGIN_S
+    end = float(own[-1]["time"]) + MARGIN_S
     nodes = {line["node"] for line in own if "node" in line}
     back_ends = {line["back_end"] for line in own if "back_end" in line}
     for line in own:
--- a/src/crankseam/tls.py
+++ b/src/crankseam/tls.py
@@ -1,4 +1,8 @@
-"""TLS contexts for peers and callers, with keys reloaded when their files change."""
+"""TLS contexts for peers and callers, with keys reloaded when their files change.
+
+Owns the contexts, which stay the same objects. Relies on the files of the settings; new keys that
+cannot be read leave the old ones in force and are logged.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/weights_cache.py
+++ b/src/crankseam/weights_cache.py
@@ -1,7 +1,8 @@
 """Weights kept by nodes with a data folder, so that samplers need not all read from the store.
 
-Each version is read from the store once a node, whoever asks for it at the same time, and then
-served in ranges from the file. Losing the folder costs time, never correctness.
+Owns the files below the data folder. Each version is read from the store once a node, whoever asks
+for it at the same time, and then served in ranges from the file. Losing the folder costs time,
+never correctness.
 """
 
 from __future__ import annotations
@@ -22,8 +23,16 @@
 
 CACHE_PATH = "/weights/{pool}/{version}"
 KEPT_VERSIONS = 3
+"""Of a pool, the newest: what is served, what is staged, and one to go back to. Origin not
+recorded."""
 FETCH_ATTEMPTS = 5
-RETRY_SECONDS = 5.0
+"""Tries for one version before the sampler is told to come back. Origin not recorded."""
+FETCH_RETRY_BASE_S = 0.2
+"""Upper bound of the first pause between two tries. Origin not recorded."""
+FETCH_RETRY_CAP_S = 5.0
+"""Upper bound of any such pause. Origin not recorded."""
+RETRY_AFTER_S = 5.0
+"""When a sampler is told to come back. Origin not recorded."""
 
 
 class WeightsCache:
@@ -60,7 +69,7 @@
     async def _fetch_from_store(self, store: str, pool: str, version: int, file: Path) -> None:
         await asyncio.to_thread(file.parent.mkdir, parents=True, exist_ok=True)
         partial = file.with_suffix(".partial")
-        backoff = Backoff(0.2, 5.0)
+        backoff = Backoff(FETCH_RETRY_BASE_S, FETCH_RETRY_CAP_S)
         for _attempt in range(FETCH_ATTEMPTS):
             try:
                 await self._store.download(store, pool, version, partial)
@@ -70,7 +79,7 @@
                 continue
             await asyncio.to_thread(self._keep, partial, file)
             return
-        raise Unavailable(f"weights {version} of {pool}", retry_after=RETRY_SECONDS)
+        raise Unavailable(f"weights {version} of {pool}", retry_after=RETRY_AFTER_S)
 
     @staticmethod
     def _keep(partial: Path, file: Path) -> None:
