--- a/src/crankseam/backoff.py
+++ b/src/crankseam/backoff.py
@@ -1,4 +1,8 @@
-"""Retry back-off with full jitter, and a retry budget."""
+"""Retry back-off with full jitter, a token bucket, and a retry budget.
+
+Each owns its own count and is used by one task or process; none is shared between processes.
+Seconds and events a second.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -13,6 +13,7 @@
 import random
 import time
 from collections.abc import Callable
+from dataclasses import dataclass, field
 
 from crankseam import clocks
 from crankseam.cluster.digest import NOTHING_KNOWN, KnownVersion
@@ -44,6 +45,22 @@
 started apart find each other. Origin not recorded."""
 
 
+@dataclass
+class Acknowledged:
+    """What one run of a relay has of this node's reports and replica sets.
+
+    Attributes
+    ==========
+
+    newest_report : highest sequence among the reports it has.
+    epochs : by slot, of the replica sets it has.
+    """
+
+    incarnation: int
+    newest_report: int = 0
+    epochs: dict[int, int] = field(default_factory=dict)
+
+
 class MembershipController:
     """Runs a node's heartbeats and answers those of others."""
 
@@ -57,8 +74,7 @@
         self.order = parts.order
         self._relay = RelayDuties(parts)
         self._known_versions: dict[str, KnownVersion] = {}
-        self._sent_reports: dict[str, tuple[int, int]] = {}
-        self._sent_epochs: dict[str, dict[int, int]] = {}
+        self._acknowledged: dict[str, Acknowledged] = {}
         self._wake = asyncio.Event()
         self._beats = 0
         self.observed_reports: Callable[[], list[BackEndReport]] = lambda: []
@@ -143,30 +159,30 @@
 
     def _unsent_reports(self, relay: str) -> list[BackEndReport]:
         """This node's reports that the relay has not acknowledged yet."""
-        _incarnation, newest = self._sent_reports.get(relay, (0, 0))
+        acknowledged = self._acknowledged.get(relay)
+        newest = acknowledged.newest_report if acknowledged is not None else 0
         return [report for report in self.observed_reports() if report.sequence > newest]
 
     def _unsent_sets(self, relay: str) -> list[ReplicaSet]:
         """Sets this node is a replica of and that the relay has not acknowledged yet."""
-        acknowledged = self._sent_epochs.get(relay, {})
+        acknowledged = self._acknowledged.get(relay)
+        epochs = acknowledged.epochs if acknowledged is not None else {}
         return [
             slot.replica_set
             for slot in self._parts.replicas.slots.values()
             if slot.sealed_by is None
-            and slot.replica_set.epoch > acknowledged.get(slot.replica_set.slot, 0)
+            and slot.replica_set.epoch > epochs.get(slot.replica_set.slot, 0)
         ]
 
     def _note_sent(self, relay: str, incarnation: int, message: Heartbeat) -> None:
-        known, newest = self._sent_reports.get(relay, (incarnation, 0))
-        if known != incarnation:
+        known = self._acknowledged.setdefault(relay, Acknowledged(incarnation))
+        if known.incarnation != incarnation:
             # Another run of the relay: it has nothing yet, so all is sent once more.
-            self._sent_reports[relay] = (incarnation, 0)
-            self._sent_epochs.pop(relay, None)
+            self._acknowledged[relay] = Acknowledged(incarnation)
             return
-        newest = max([newest, *(report.sequence for report in message.back_ends)])
-        self._sent_reports[relay] = (incarnation, newest)
-        epochs = self._sent_epochs.setdefault(relay, {})
-        epochs.update({sent.slot: sent.epoch for sent in message.replica_sets})
+        sequences = [report.sequence for report in message.back_ends]
+        known.newest_report = max([known.newest_report, *sequences])
+        known.epochs.update({sent.slot: sent.epoch for sent in message.replica_sets})
 
     def _is_seed_contact_due(self) -> bool:
         """Often at first, then rarely: groups that started apart find each other through seeds."""
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -4,6 +4,9 @@
 `zone_order` for whether this node is a relay now and on `liveness` for who is dead. Nothing here
 outlives the process or is waited for by others: any node can take these duties up within one
 heartbeat.
+
+`coordination/relay` is something else: calls to the store that another process makes for one that
+the store does not serve.
 """
 
 from __future__ import annotations
--- a/src/crankseam/config/changes.py
+++ b/src/crankseam/config/changes.py
@@ -49,20 +49,28 @@
         return self.base.revision if self.base else 0
 
 
-async def read_pointer(key_value: KeyValueClient) -> tuple[Pointer | None, int]:
-    """The accepted pointer and the service's revision of it."""
+@dataclass(frozen=True)
+class AcceptedPointer:
+    """The accepted pointer and the service's revision of it; before the first, None and 0."""
+
+    pointer: Pointer | None
+    mod_revision: int
+
+
+async def read_pointer(key_value: KeyValueClient) -> AcceptedPointer:
+    """What is accepted now."""
     found = await key_value.get(POINTER_KEY)
     if found is None:
-        return None, 0
-    return msgspec.json.decode(found.value, type=Pointer), found.mod_revision
+        return AcceptedPointer(None, 0)
+    return AcceptedPointer(msgspec.json.decode(found.value, type=Pointer), found.mod_revision)
 
 
 async def make_plan(key_value: KeyValueClient, documents: list[Document]) -> Plan:
     """Compare the documents with what is accepted."""
-    base, mod_revision = await read_pointer(key_value)
+    accepted = await read_pointer(key_value)
     parts = encode_parts(documents)
-    changes = await _describe_changes(key_value, base, parts)
-    return Plan(base, mod_revision, parts, changes)
+    changes = await _describe_changes(key_value, accepted.pointer, parts)
+    return Plan(accepted.pointer, accepted.mod_revision, parts, changes)
 
 
 async def _describe_changes(
@@ -177,7 +185,7 @@
 
 
 async def _conflict(key_value: KeyValueClient, plan: Plan) -> ApplyConflict | KeyValueUnavailable:
-    current, _ = await read_pointer(key_value)
+    current = (await read_pointer(key_value)).pointer
     if current is None or current.revision == plan.base_revision:
         return KeyValueUnavailable("the change was lost on its way; nothing was accepted")
     return ApplyConflict(
--- a/src/crankseam/peers/messages.py
+++ b/src/crankseam/peers/messages.py
@@ -1,4 +1,9 @@
-"""All messages between nodes, as tagged msgspec structs encoded to MessagePack arrays."""
+"""All messages between nodes, as tagged msgspec structs encoded to MessagePack arrays.
+
+Owns the bytes between nodes: a message's tag (its class name, where none is given) and the order of
+its fields are on the wire, and nodes of two builds talk to each other while one replaces the other.
+Members, reports and replica sets are stored and passed on in the same form.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -3,6 +3,10 @@
 Owns the attempts of one request. Relies on the router for the choice, on `attempts` for whether
 another one may follow, on the quarantine for requests under which back ends ended, and on
 `may_send` for whether this node may act now; that is asked directly before the first byte.
+
+`serving/forwarding` does this on the users' platform, and differs by intent: a slow request may get
+a second attempt beside the first there, back ends may reject it for want of a slot, and what runs
+once has no agreed record, so it is never sent again once a byte left.
 """
 
 from __future__ import annotations
--- a/src/crankseam/tasks.py
+++ b/src/crankseam/tasks.py
@@ -1,4 +1,8 @@
-"""Keeps a component's background tasks, restarts none silently, and stops them together."""
+"""Keeps a component's background tasks, restarts none silently, and stops them together.
+
+Owns the tasks started through it. A failed one is logged and marks the owner as failed; what
+follows from that is up to `on_failure`.
+"""
 
 from __future__ import annotations
 
--- a/src/crankseam/toml_lines.py
+++ b/src/crankseam/toml_lines.py
@@ -1,4 +1,8 @@
-"""Finds the line of a field in a TOML text, for errors that name it."""
+"""Finds the line of a field in a TOML text, for errors that name it.
+
+Owns nothing; the text need not be valid beyond what was read of it. Used for the settings of both
+programs.
+"""
 
 from __future__ import annotations
 
