--- a/src/crankseam/orders/assignment.py
+++ b/src/crankseam/orders/assignment.py
@@ -14,7 +14,6 @@
 
 import math
 import statistics
-from collections import Counter
 from typing import NamedTuple
 
 from crankseam.serving.back_ends import BackEnd
@@ -98,7 +97,7 @@
     """
     sound = [one for one in samplers if one.failures < UNSOUND_FAILURES] or samplers
     ranks = _rank(sound, classes or {})
-    models_of: Counter[str] = Counter()
+    models_of = dict.fromkeys(ranks, 0)
     assigned: dict[str, list[BackEnd]] = {}
     for turn, model in enumerate(sorted(models)):
         count = carrier_count(len(samplers), len(models), (shares or {}).get(model))
@@ -112,7 +111,8 @@
             return _Cost(-sampler.version_of(model), models_of[key], turns, ranks[key])
 
         assigned[model] = sorted(sound, key=cost)[:count]
-        models_of.update(sampler.record.id for sampler in assigned[model])
+        for sampler in assigned[model]:
+            models_of[sampler.record.id] += 1
     return assigned
 
 
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -90,8 +90,7 @@
         return now - self.named_at >= LATE_SHARE * max(self.interval_s, SHORTEST_STEP_S)
 
 
-@dataclass(frozen=True, slots=True)
-class Load:
+class Load(NamedTuple):
     """A sampler that is to load, or loads, a model's newest version."""
 
     service: str
@@ -204,15 +203,20 @@
     samplers : how many each service has.
     carriers : how many are assigned to each model.
     """
+    most_of_service = {service: loads_at_once(count) for service, count in samplers.items()}
+    most_of_model = {model: max(1, count // CARRIERS_PER_LOAD) for model, count in carriers.items()}
     loading = {load.back_end.record.id for load in under_way}
     of_service = Counter(load.service for load in under_way)
     of_model = Counter(load.model for load in under_way)
     started: list[Load] = []
     for load in due:
-        key, service, model = load.back_end.record.id, load.service, load.model
-        if key in loading or of_service[service] >= loads_at_once(samplers[service]):
+        service, model = load.service, load.model
+        if of_service[service] >= most_of_service[service]:
+            continue
+        if of_model[model] >= most_of_model[model]:
             continue
-        if of_model[model] >= max(1, carriers[model] // CARRIERS_PER_LOAD):
+        key = load.back_end.record.id
+        if key in loading:
             continue
         loading.add(key)
         of_service[service] += 1
