--- a/src/crankseam/coordination/peer_http.py
+++ b/src/crankseam/coordination/peer_http.py
@@ -32,8 +32,7 @@
 NOT_SERVED = 404
 """HTTP status of a peer that knows no such kind of call."""
 CONNECT_S = 0.4
-"""A peer is connected within this, or counts as not reached: nothing was sent. Origin not
-recorded."""
+"""A connection to a peer is made within this, or the call fails; origin not recorded."""
 MAX_CALL_BYTES = 4 * 1024 * 1024
 """A larger call is refused by the listener; origin not recorded."""
 TELL_S = 1.0
--- a/src/crankseam/coordination/ranking.py
+++ b/src/crankseam/coordination/ranking.py
@@ -2,8 +2,8 @@
 
 Inputs: the subject's name; the names of all living processes, or the sizes of their machines.
 Rule: rendezvous hashing of subject and name ranks the processes, those of large machines first
-where sizes count. The first tries at once, each of the next few a step later, all others at a
-random time after these.
+where sizes count. The first tries almost at once, each of the next few a step later, all others
+at a random time after these.
 Protects: the store, from as many tries as there are processes; each process works the order out
 alike, and when one leaves, only its own subjects move.
 Shown by: `duty_won`, `job_taken_over`. Held by: tests/coordination/test_ranking.py.
