--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -25,7 +25,7 @@
 
     def begin(self, subject: TrialSubject, most_ends: int) -> Trial:
         """The trial of a request that is about to be sent."""
-        return self._quarantine.begin(subject, most_ends)
+        return Trial(self._quarantine, subject, most_ends)
 
     async def ended_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
         """The id of a back end that ended under an attempt; empty if it did not."""
--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -13,7 +13,6 @@
 from crankseam.quarantine.publisher import SuspectPublisher
 from crankseam.quarantine.suspect_store import SuspectMalformed, SuspectStore, decode_suspect
 from crankseam.quarantine.table import Suspect, SuspectTable
-from crankseam.quarantine.trial import Trial
 
 log = logging.getLogger(__name__)
 
@@ -64,10 +63,6 @@
         """All that are known, by fingerprint; those that changed last first."""
         return sorted(self._table, key=lambda pair: pair[1].changed_at, reverse=True)
 
-    def begin(self, subject: TrialSubject, most_ends: int) -> Trial:
-        """The trial of a request that is about to be sent."""
-        return Trial(self, subject, most_ends)
-
     def find(self, subject: TrialSubject) -> Suspect | None:
         """What is known of a request; costs nothing unless a suspect has a body of its length."""
         if not self._table.may_know(len(subject.body)):
--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/trial.py
@@ -7,17 +7,14 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
 from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.table import Suspect
 
-if TYPE_CHECKING:
-    from crankseam.quarantine.quarantine import Quarantine
-
 log = logging.getLogger(__name__)
 
 
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -88,7 +88,7 @@
         """Forward; raises Problem when there is no answer to give."""
         self._budget.count_attempt()
         service = context.require_service()
-        trial = self._quarantine.begin(_subject(context), service.crash_limit)
+        trial = Trial(self._quarantine, _subject(context), service.crash_limit)
         await trial.admit()
         try:
             return await self._attempt_until_answered(context, trial)
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -168,7 +168,7 @@
             target: asked anew for each attempt, since versions and configuration move on.
         """
         wanted = target()
-        trial = self._quarantine.begin(_subject(job, wanted), wanted.pool.crash_limit)
+        trial = Trial(self._quarantine, _subject(job, wanted), wanted.pool.crash_limit)
         try:
             return await self._attempt_until_whole(job, generation, target, trial)
         finally:
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -6,6 +6,7 @@
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.parts import make_quarantine
+from crankseam.quarantine.trial import Trial
 from crankseam.serving.ended_back_ends import EndedBackEnds
 from crankseam.serving.supervisor import Supervisor
 from crankseam_standins.memory_store import MemoryStore
@@ -60,7 +61,7 @@
             await peer.publisher.serve(raw)
 
     def trial(self, subject=None, most_ends=2):
-        return self.quarantine.begin(subject or make_subject(), most_ends)
+        return Trial(self.quarantine, subject or make_subject(), most_ends)
 
     def knows(self, subject=None, ends=1):
         found = self.table.find((subject or make_subject()).fingerprint)
