--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -164,6 +164,7 @@
             if stored is None or stored.ended:
                 return True
         except KeyValueError:
+            # The caller tries again while the job needs an owner.
             return False
         log.info(
             "job_taken_over",
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -35,13 +35,13 @@
     JobDefinition,
     PartialText,
 )
+from crankseam.jobs.noted_send import noted_send
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_places import RoutedPlaces
 from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
 from crankseam.quarantine.model import TrialSubject
-from crankseam.quarantine.trial import Send
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.engine_memory import RunSize
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
@@ -221,7 +221,7 @@
         self._log("item_sent", back_end, f"load {back_end.expected_load(time.monotonic())}")
         try:
             with self._trial.sending() as send:
-                await self._send(back_end, send)
+                await noted_send(self._guard, send, back_end, self._generate(back_end))
         except AttemptNotRun as refusal:
             pause_s = rejected_pause_s(refusal.had_room)
             back_end.was_full(pause_s)
@@ -252,19 +252,6 @@
         self.kept.whole = True
         return whole_result(self.item, self.kept)
 
-    async def _send(self, back_end: BackEnd, send: Send) -> None:
-        """Generate, and note for the trial what came of it."""
-        try:
-            await self._generate(back_end)
-        except AttemptNotRun as refusal:
-            send.was_not_run = True
-            self._guard.turned_away(back_end, refusal)
-            raise
-        except AttemptBroken as failure:
-            send.ended_id = await self._guard.ended_id(back_end, failure)
-            raise
-        send.was_answered = True
-
     def _given_up(self) -> ItemResult:
         return ItemResult(self.item.id, False)
 
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -127,68 +127,70 @@
 kind, and an event adds little memory. Set in 0dca76b, not measured by itself."""
 
 
-class _Queue:
-    """Samplers that may run one kind of item, the best first.
+@dataclass(frozen=True, slots=True)
+class _Beliefs:
+    """What a round believes of the samplers that may run one kind of item.
 
-    Parameters
+    Attributes
     ==========
 
-    classes : class of pace by sampler.
-    behind : weight versions behind the newest by sampler.
-    slow : samplers that turned slow.
-    slots_share : see PlaceNeed.
-    size : of the first such run; those of the others are close.
-    memory : of each sampler; None if that is not known or does not count.
+    slow : ids of those that turned slow.
+    classes : class of pace, by id; empty if it does not count.
+    behind : weight versions behind the newest, by id; empty if it does not count.
+    memory : of each sampler; None if it is not known or does not count.
+    zone : of this process.
     now : monotonic time of the round.
+    """
+
+    slow: set[str]
+    classes: dict[str, int]
+    behind: dict[str, int]
+    memory: EngineMemory | None
+    zone: str
+    now: float
+
+
+class _Queue:
+    """Samplers that may run one kind of item, the best first.
 
     Loads only grow while places are given, so a cost that is out of date is too low: the sampler
     is put back with its new one when it comes up.
+
+    Parameters
+    ==========
+
+    need : of the first such item; the runs of the others are of about the same size.
     """
 
-    def __init__(
-        self,
-        back_ends: list[BackEnd],
-        classes: dict[str, int],
-        behind: dict[str, int],
-        slow: set[str],
-        slots_share: float,
-        size: RunSize,
-        memory: EngineMemory | None,
-        zone: str,
-        now: float,
-    ) -> None:
-        self._size = size
-        self._memory = memory
-        self._slots_share = slots_share
-        self._classes = classes
-        self._behind = behind
-        self._slow = slow
-        self._zone = zone
-        self._now = now
+    def __init__(self, back_ends: list[BackEnd], need: PlaceNeed, beliefs: _Beliefs) -> None:
+        self._need = need
+        self._beliefs = beliefs
         self._numbers = itertools.count()
         self._tie_breaks = {one.record.id: random.random() for one in back_ends}
         self._heap = [(self._cost(one), next(self._numbers), one) for one in back_ends]
         heapq.heapify(self._heap)
 
     def _cost(self, back_end: BackEnd) -> Cost:
-        key = back_end.record.id
+        key, beliefs = back_end.record.id, self._beliefs
         return Cost(
-            turned_slow=key in self._slow,
+            turned_slow=key in beliefs.slow,
             lacks_memory=self._lacks_memory(back_end),
-            pace_class=self._classes.get(key, 0),
-            versions_behind=self._behind.get(key, 0),
-            load=back_end.expected_load(self._now),
-            in_other_zone=back_end.record.zone != self._zone,
+            pace_class=beliefs.classes.get(key, 0),
+            versions_behind=beliefs.behind.get(key, 0),
+            load=back_end.expected_load(beliefs.now),
+            in_other_zone=back_end.record.zone != beliefs.zone,
             tie_break=self._tie_breaks[key],
         )
 
     def _lacks_memory(self, back_end: BackEnd) -> bool:
-        if self._memory is None:
+        memory = self._beliefs.memory
+        if memory is None:
             return False
-        return not back_end.has_memory_for(self._size, self._memory, self._now)
+        return not back_end.has_memory_for(self._need.size, memory, self._beliefs.now)
 
-    def _most(self, back_end: BackEnd) -> float:
-        return max(1.0, self._slots_share * slots_of(back_end))
+    def _has_room(self, back_end: BackEnd) -> bool:
+        most = max(1.0, self._need.slots_share * slots_of(back_end))
+        return back_end.expected_load(self._beliefs.now) < most
 
     def best(self, avoided: str) -> BackEnd | None:
         """The best sampler with room; an avoided one only when there is no other."""
@@ -197,7 +199,7 @@
         while self._heap and found is None:
             cost, _, back_end = heapq.heappop(self._heap)
             current = self._cost(back_end)
-            if back_end.expected_load(self._now) >= self._most(back_end):
+            if not self._has_room(back_end):
                 continue
             entry = (current, next(self._numbers), back_end)
             if current > cost:
@@ -265,19 +267,15 @@
             if one.avoid_until <= self._now
             and may_serve(one, need.model, need.min_version, request.only_version)
         ]
-        classes = self._paces.classes(candidates) if need.is_long else {}
-        behind = _versions_behind(candidates, need.model) if need.is_long else {}
-        return _Queue(
-            candidates,
-            classes,
-            behind,
+        beliefs = _Beliefs(
             self._slow[request.service],
-            need.slots_share,
-            need.size,
+            self._paces.classes(candidates) if need.is_long else {},
+            _versions_behind(candidates, need.model) if need.is_long else {},
             self._memory_of(request.service) if need.item else None,
             self._zone,
             self._now,
         )
+        return _Queue(candidates, need, beliefs)
 
 
 def _versions_behind(back_ends: list[BackEnd], model: str) -> dict[str, int]:
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -26,13 +26,13 @@
     scoring_patience_s,
 )
 from crankseam.jobs.model import ItemDefinition, JobDefinition, ScoringRequest
+from crankseam.jobs.noted_send import noted_send
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_places import RoutedPlaces
 from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
 from crankseam.quarantine.model import TrialSubject
-from crankseam.quarantine.trial import Send
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
 from crankseam.serving.routes import Route, TrafficSplitter
@@ -157,7 +157,9 @@
         try:
             async with asyncio.timeout(patience_s):
                 with self.trial.sending() as send:
-                    score = await self._send(back_end, clocks.promised_s() + patience_s, send)
+                    deadline = clocks.promised_s() + patience_s
+                    call = self._client.score(back_end, self._request, deadline)
+                    score = await noted_send(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
             back_end.was_full(SCORING_REJECTED_PAUSE_S)
             if refusal.wrong_instance:
@@ -182,20 +184,6 @@
         self._log("scoring_done", back_end, score)
         return score
 
-    async def _send(self, back_end: BackEnd, deadline: float, send: Send) -> str:
-        """Ask once, and note for the trial what came of it."""
-        try:
-            score = await self._client.score(back_end, self._request, deadline)
-        except AttemptNotRun as refusal:
-            send.was_not_run = True
-            self._guard.turned_away(back_end, refusal)
-            raise
-        except AttemptBroken as failure:
-            send.ended_id = await self._guard.ended_id(back_end, failure)
-            raise
-        send.was_answered = True
-        return score
-
     def may_give_up(self, most_failures: int, back_end: BackEnd) -> bool:
         """Whether the request failed as often as the routes allow."""
         if self._failures < most_failures:
