--- a/src/crankseam_experiments/verb.py
+++ b/src/crankseam_experiments/verb.py
@@ -102,9 +102,9 @@
 def _losses(arguments: argparse.Namespace) -> int:
     """Print where the worth of one played day went."""
     _find_platform_packages()
-    from crankseam_platform_bench.losses import read_jobs, read_report, tell_losses
+    from crankseam_platform_bench.losses import format_losses, read_jobs, read_report
 
-    print(tell_losses(read_report(arguments.report), read_jobs(arguments.log)))
+    print(format_losses(read_report(arguments.report), read_jobs(arguments.log)))
     return exit_codes.OK
 
 
--- a/tests/platform_bench/test_losses.py
+++ b/tests/platform_bench/test_losses.py
@@ -2,7 +2,7 @@
 
 import json
 
-from crankseam_platform_bench.losses import read_jobs, tell_losses
+from crankseam_platform_bench.losses import format_losses, read_jobs
 
 REPORT = {
     "G": 0.6,
@@ -51,7 +51,7 @@
 
 
 def test_the_tables_name_prices_moments_and_what_happened_meanwhile(tmp_path):
-    told = tell_losses(REPORT, read_jobs(write_log(tmp_path, [])))
+    told = format_losses(REPORT, read_jobs(write_log(tmp_path, [])))
     assert told.index("connections") < told.index("cloud calls"), "the dearest first"
     assert "orders" not in told, "what cost nothing is left out"
     assert "from    8 s" in told and "from    0 s" not in told
