--- a/src/crankseam/metrics.py
+++ b/src/crankseam/metrics.py
@@ -48,6 +48,7 @@
                 "key_value_requests": "Requests sent to the key-value service",
                 "cpu_seconds": "Processor time of the process",
                 "slot_moves": "Replica sets moved by this node",
+                "suspects": "Requests under which back ends ended",
             }.items()
         }
 
