--- a/src/crankseam/cluster/stall_guard.py
+++ b/src/crankseam/cluster/stall_guard.py
@@ -1,4 +1,4 @@
-"""Whether this process may act on what it knows: was it stopped for a while since it last heard?
+"""May this process act on what it knows, or was it stopped for a while since it last heard?
 
 Inputs: ticks of the event loop each `TICK_S` and when a question was asked that others answered
 (seconds of the clock of promises, which also counts the time for which a machine was suspended).
--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -8,7 +8,8 @@
 asked. A share whose holder has not renewed it for a term and a margin may be taken by any node.
 While another node wants more, a node that does not keeps no headroom.
 Protects: the sum of the shares in use never passes the limit, also while nodes are cut off from
-each other.
+each other. One gap is known: a renewal whose answer was lost and the next one carry the same
+sequence, so another node may count the second for none and take a share back early.
 Shown by: the problem "limit ... is in use", `share not renewed`. Held by:
 tests/controllers/test_limit_shares.py, tests/test_clocks.py, tests/rollout/test_steps.py,
 tests/requests/test_app_requests.py. Term and margin are settings (`timing.limit_term`,
