--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -62,6 +62,10 @@
 
     guard : holds back requests under which back ends ended.
     zone : where this process runs; back ends there are preferred between equals.
+
+    Attributes
+    ==========
+
     on_begun : called once for each request that may have begun to run, with its tenant and the
         time of promises at which it did.
     """
@@ -72,9 +76,8 @@
         client: BackEndClient,
         guard: CrashGuard,
         zone: str,
-        on_begun: Callable[[str, float], None] | None = None,
     ) -> None:
-        self._on_begun = on_begun
+        self.on_begun: list[Callable[[str, float], None]] = []
         self._registry = registry
         self._client = client
         self._guard = guard
@@ -106,8 +109,9 @@
         finally:
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
-            if history.began_at is not None and self._on_begun is not None:
-                self._on_begun(request.tenant, history.began_at)
+            if history.began_at is not None:
+                for take in self.on_begun:
+                    take(request.tenant, history.began_at)
         if answer is None:
             answer = history.last_failure
         _log_end(forwarding, answer)
