--- a/src/crankseam/machine_retirement.py
+++ b/src/crankseam/machine_retirement.py
@@ -23,10 +23,13 @@
 
 log = logging.getLogger(__name__)
 
-SPREAD_SECONDS = 1.0
-"""Every front sees the request; most find it answered when their turn comes."""
-RETRY_BASE_SECONDS = 0.3
-RETRY_CAP_SECONDS = 2.0
+SPREAD_S = 1.0
+"""Seconds over which processes spread their answers: every front sees the request, and most find it
+answered when their turn comes. Origin not recorded."""
+RETRY_BASE_S = 0.3
+"""Longest pause, in seconds, after the first failure of the store. Origin not recorded."""
+RETRY_CAP_S = 2.0
+"""Seconds that the pause does not exceed. Origin not recorded."""
 
 
 class MachineRetirements:
@@ -41,8 +44,8 @@
         if machine in self._answered:
             return
         self._answered.add(machine)
-        await asyncio.sleep(random.uniform(0.0, SPREAD_SECONDS))
-        backoff = Backoff(RETRY_BASE_SECONDS, RETRY_CAP_SECONDS)
+        await asyncio.sleep(random.uniform(0.0, SPREAD_S))
+        backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         while True:
             try:
                 if await self._store.get(status_key) is None:
@@ -57,4 +60,5 @@
         try:
             await self._store.commit(Transaction([Condition(key, ABSENT)], [Put(key, status)]))
         except TransactionConflict:
+            # Another process has answered meanwhile, and what it wrote is the same.
             return
