--- a/src/crankseam/jobs/migration.py
+++ b/src/crankseam/jobs/migration.py
@@ -23,7 +23,7 @@
 measured there only together with the order of items."""
 COOLDOWN_S = 1.0
 """A run that was moved stays for so many seconds, so that two samplers do not pass it to and fro:
-472 moves in one played day without it (a3bb3a8). 1 s since 74882ba, not measured by itself."""
+472 streams cut in a trial without it (a3bb3a8). 1 s since 74882ba, not measured by itself."""
 REJECTED_COOLDOWN_S = 0.4
 """The same after a sampler rejected the run: nothing was gained by that move, and the whole
 cooldown held runs at slow samplers (cb90c68, where it showed no gain by itself)."""
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -28,7 +28,7 @@
 owner's answer; a call of the store is given up after 1 s."""
 UNCHECKED_S = 0.9
 """The same while a former owner's last listing may still take effect, since the last look: more
-than FORMER_OWNER_LOOK_S of claims.py, so that one look in time keeps a runner certain. Set in
+than FORMER_OWNER_LOOK_S of take_over.py, so that one look in time keeps a runner certain. Set in
 04df5a2."""
 RETRY_BASE_S = 0.05
 """First pause between two tries of a listing; see Backoff. Origin not recorded."""
--- a/tests/jobs/test_item_seconds.py
+++ b/tests/jobs/test_item_seconds.py
@@ -42,9 +42,9 @@
 
 
 def test_hints_that_are_off_for_each_item_average_out():
-    known, lots = ItemSeconds(), random.Random(7)
+    known, generator = ItemSeconds(), random.Random(7)
     for number in range(256):
-        tokens = lots.choice([20, 40, 200])
-        known.ended("m", item(number, round(tokens * lots.uniform(0.5, 1.5))), tokens * 0.02)
+        tokens = generator.choice([20, 40, 200])
+        known.ended("m", item(number, round(tokens * generator.uniform(0.5, 1.5))), tokens * 0.02)
     expected = 0.02 * (20 + 40 + 200) / 3
     assert known.mean_s(job([20, 40, 200])) == pytest.approx(expected, rel=0.1)
