--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -8,8 +8,7 @@
 asked. A share whose holder has not renewed it for a term and a margin may be taken by any node.
 While another node wants more, a node that does not keeps no headroom.
 Protects: the sum of the shares in use never passes the limit, also while nodes are cut off from
-each other. One gap is known: a renewal whose answer was lost and the next one carry the same
-sequence, so another node may count the second for none and take a share back early.
+each other.
 Shown by: the problem "limit ... is in use", `share not renewed`. Held by:
 tests/controllers/test_limit_shares.py, tests/test_clocks.py, tests/rollout/test_steps.py,
 tests/requests/test_app_requests.py. Term and margin are settings (`timing.limit_term`,
@@ -125,9 +124,15 @@
         others_want_more = any(share.wants_more for share in living.values())
         wanted = wanted_amount(self.used, self.wants_more, others_want_more)
         amount = max(0, min(wanted, self.total - taken))
-        own = Share(amount, self._sequence + 1, self.wants_more and amount < wanted)
+        sequence = 1 + max(self._sequence, self._standing_sequence(table))
+        own = Share(amount, sequence, self.wants_more and amount < wanted)
         return ShareTable({**living, self.holder: own})
 
+    def _standing_sequence(self, table: ShareTable) -> int:
+        """The sequence of this node's last renewal that was agreed on, also if nobody told it."""
+        standing = table.shares.get(self.holder)
+        return standing.sequence if standing is not None else 0
+
     def _has_lapsed(self, holder: str, share: Share) -> bool:
         now = self._clock()
         seen = self._seen.get(holder)
--- a/tests/controllers/test_limit_shares.py
+++ b/tests/controllers/test_limit_shares.py
@@ -57,10 +57,32 @@
     assert renewed(second, table, clock.now).shares["b"].amount == 1
 
 
+def lost(share, table):
+    """A renewal that is agreed on and whose answer does not come back."""
+    table = share.renew_in(table)
+    share.prepare_renewal(table.shares[share.holder].amount)
+    return table
+
+
+def test_a_renewal_after_a_lost_one_shows_that_its_holder_lives():
+    """Else another node takes the share back while its holder may still use it."""
+    clock, total = Clock(), 4
+    first, second = (LimitShare(name, total, TERM, MARGIN, clock) for name in ("a", "b"))
+    table = lost(second, ShareTable())
+    table = renewed(first, table, clock.now)
+    second.try_acquire()
+    clock.now += 2.0
+    table = renewed(second, table, clock.now)
+    first.used = 2
+    clock.now += 4.0
+    renewed(first, table, clock.now)
+    assert first.amount() + second.amount() <= total
+
+
 @given(
     steps=st.lists(
         st.tuples(
-            st.sampled_from(["renew", "start", "end"]),
+            st.sampled_from(["renew", "lose", "start", "end"]),
             st.integers(0, 2),
             st.floats(0.0, 3.0),
         ),
@@ -68,7 +90,7 @@
     )
 )
 def test_the_shares_in_use_never_pass_the_limit(steps):
-    """Nodes renew at any time and stop renewing at any time; each hears of its own renewals."""
+    """Nodes renew at any time and stop renewing at any time; answers to renewals may be lost."""
     clock, total = Clock(), 4
     shares = [LimitShare(f"node-{n}", total, TERM, MARGIN, clock) for n in range(3)]
     table = ShareTable()
@@ -81,4 +103,6 @@
             share.release()
         elif kind == "renew":
             table = renewed(share, table, clock.now)
+        elif kind == "lose":
+            table = lost(share, table)
         assert sum(each.amount() for each in shares) <= total
