--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -39,7 +39,7 @@
 JUDGEMENTS_PER_HEARTBEAT = 4
 """Looks for silent members in one heartbeat, so that a death is noticed at most a quarter of a
 heartbeat late. Measured at 420 nodes with one look: deaths were known after 5.7 s in the median,
-with 5 s allowed (commit ac7ff37)."""
+with 5 s allowed."""
 
 
 class RelayDuties:
--- a/src/crankseam/cluster/zone_order.py
+++ b/src/crankseam/cluster/zone_order.py
@@ -30,7 +30,7 @@
 REGION_PURPOSE = "region-duties"
 TREE_DEGREE = 2
 """Members that take the digest from one member of the zone. Measured at 50 nodes: a relay that
-answers all sent 20.8 KB/s, in the tree 17.9 (commit a5ffcee)."""
+answers all sent 20.8 KB/s, in the tree 17.9."""
 
 
 def choose_relays(order: Sequence[Member], failed_lately: Callable[[str], bool]) -> list[Member]:
--- a/src/crankseam/controllers/back_end_watch.py
+++ b/src/crankseam/controllers/back_end_watch.py
@@ -36,17 +36,16 @@
 """The first watcher sends an unchanged report again after this, so that others know it is not
 stale. Under a third of the time for which reports are kept. Origin not recorded."""
 SECOND_RENEW_S = 15.0
-"""As `RENEW_S`, of the second watcher, which sends no loads (commit 1ed9291)."""
+"""As `RENEW_S`, of the second watcher, which sends no loads."""
 MIN_LOAD_S = 2.0
 """A load alone is reported at most this often; what a node sent since then it adds itself. Measured
-at 150 nodes, with `LOAD_STEP` and loads from one watcher: a relay's 16.7 KB/s became 8.9 (commit
-1ed9291)."""
+at 150 nodes, with `LOAD_STEP` and loads from one watcher: a relay's 16.7 KB/s became 8.9."""
 LOAD_STEP = 4
 """Requests by which a load must at least have moved to be reported again. Measured with
-`MIN_LOAD_S` (commit 1ed9291)."""
+`MIN_LOAD_S`."""
 LOAD_RATIO = 0.2
 """Share of the load before by which it must have moved too. Raised from 0.15 when a relay's traffic
-passed 19 KB/s at 50 nodes (commit a5ffcee)."""
+passed 19 KB/s at 50 nodes."""
 FAILURES_UNTIL_DEAD = 2
 """Readings in a row without an answer; one may be lost. Origin not recorded."""
 SHORTEST_PAUSE_S = 0.05
--- a/src/crankseam/controllers/weight_rules.py
+++ b/src/crankseam/controllers/weight_rules.py
@@ -21,7 +21,7 @@
 
 LOOK_S = 2.0
 """A sampler whose state is unknown is asked for it this often. Asking all samplers twice each half
-second cost some 800 requests a second at 200 samplers (commit d3e6050)."""
+second cost some 800 requests a second at 200 samplers."""
 REPORT_LAG_S = 3.0
 """Reports lag behind; one that came later than this after a switch must show it. Covers two
 readings of a load (`timing.watch_interval`) and a heartbeat to spread it. Origin not recorded."""
--- a/src/crankseam/jobs/acceptance.py
+++ b/src/crankseam/jobs/acceptance.py
@@ -26,7 +26,7 @@
 
 RUN_AHEAD_S = 0.2
 """A job runs, unlisted, when its acceptance takes longer than this: an outage of the store then
-costs less of its step's time (0.43 -> 0.58 of a day with outages served, ed2ddcf)."""
+costs less of its step's time (0.43 -> 0.58 of a day with outages served)."""
 RETRY_BASE_S = 0.1
 """First pause between two tries to write a job; see Backoff. Origin not recorded."""
 RETRY_CAP_S = 0.5
--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -21,18 +21,18 @@
 """Longest wait for the first event of an attempt: the item may wait in the sampler's queue. Origin
 not recorded."""
 NEXT_EVENT_S = 0.3
-"""Longest silence between two events before the run goes on elsewhere; it doubles with each
-silence of the item. Events of a healthy sampler are 0.04 to 0.06 s apart; one that loads a version
-stands still for 0.9 s. Set in a3bb3a8, not measured by itself."""
+"""Longest silence between two events before the run goes on elsewhere; it doubles with each silence
+of the item. Events of a healthy sampler are 0.04 to 0.06 s apart; one that loads a version stands
+still for 0.9 s. A choice, not measured by itself."""
 LONGEST_SILENCE_S = 2.5
 """What that doubles up to: as long as the wait for a first event. Origin not recorded."""
 LONGEST_ATTEMPT_S = 60.0
 """Seconds that a sampler is given for one attempt. Origin not recorded."""
 FULL_PAUSE_S = 0.05
-"""A sampler that rejected an item because it is full is avoided for so long: about one event.
-Set in a3bb3a8, not measured by itself."""
+"""A sampler that rejected an item because it is full is avoided for so long: about one event. A
+choice, not measured by itself."""
 LOADING_PAUSE_S = 0.3
-"""The same for one that had room: it loads a version. Set in a3bb3a8, not measured by itself."""
+"""The same for one that had room: it loads a version. A choice, not measured by itself."""
 BROKEN_PAUSE_S = 0.02
 """Between an attempt that broke off and the next one of the item. Origin not recorded."""
 GIVE_UP_MARGIN_S = 2.0
--- a/src/crankseam/jobs/listing_moments.py
+++ b/src/crankseam/jobs/listing_moments.py
@@ -23,12 +23,12 @@
 from crankseam.jobs.model import JobDefinition
 
 SELDOM_LISTED_S = 2.0
-"""Results made within this time are listed by one write while the step can't end by them.
-Measured in 288f925: from the last listing to the end of the step 0.601 -> 0.379 s, calls of the
-store 4,326 -> 4,183 a day."""
+"""Results made within this time are listed by one write while the step can't end by them. Measured:
+from the last listing to the end of the step 0.601 -> 0.379 s, calls of the store 4,326 -> 4,183 a
+day."""
 GROUP_LISTED_S = 0.08
 """Once it can, results that complete a group are listed after this, so that those which end at one
-moment need one write. Set in cb90c68, measured there only together with the choice of samplers."""
+moment need one write. Measured only together with the choice of samplers."""
 SINGLE_LISTED_S = 0.25
 """The same for jobs whose items have no groups: each counts by itself. Origin not recorded."""
 
--- a/src/crankseam/jobs/migration.py
+++ b/src/crankseam/jobs/migration.py
@@ -19,20 +19,19 @@
 from crankseam.serving.paces import SLOW_FACTOR
 
 LONG_RUN_SLOW_FACTOR = 1.2
-"""Long runs, which the step waits for, leave for a sampler that is faster by this. Set in a3bb3a8,
-measured there only together with the order of items."""
+"""Long runs, which the step waits for, leave for a sampler that is faster by this. Measured only together with the order of items."""
 COOLDOWN_S = 1.0
 """A run that was moved stays for so many seconds, so that two samplers do not pass it to and fro:
-472 streams cut in a trial without it (a3bb3a8). 1 s since 74882ba, not measured by itself."""
+472 streams cut in a trial without it. 1 s is a choice, not measured by itself."""
 REJECTED_COOLDOWN_S = 0.4
 """The same after a sampler rejected the run: nothing was gained by that move, and the whole
-cooldown held runs at slow samplers (cb90c68, where it showed no gain by itself)."""
+cooldown held runs at slow samplers (it showed no gain by itself)."""
 LOOK_S = 0.1
-"""Seconds between two looks of a run for a faster sampler: a few events. Set in 3bdd67d, not
-measured by itself."""
+"""Seconds between two looks of a run for a faster sampler: a few events. A choice, not measured by
+itself."""
 FASTEST_KEPT_S = 0.2
-"""Seconds for which the order of samplers by pace is kept: each look of each run asks for it.
-Set in 3bdd67d, not measured by itself."""
+"""Seconds for which the order of samplers by pace is kept: each look of each run asks for it. A
+choice, not measured by itself."""
 
 
 def longest_pace_s(steady_s: float, recent_s: float, is_long: bool) -> float:
--- a/src/crankseam/jobs/pace_sharing.py
+++ b/src/crankseam/jobs/pace_sharing.py
@@ -26,10 +26,10 @@
 LOOK_S = 0.5
 """Seconds between two looks for news. Origin not recorded."""
 SHORTEST_PAUSE_S = 2.0
-"""Between two tables of one process. Set in 3bdd67d, not measured by itself."""
+"""Between two tables of one process. A choice, not measured by itself."""
 CHANGE_SHARE = 0.1
-"""A pace that differs by less than this share from what was told is not told anew. Set in 3bdd67d,
-not measured by itself."""
+"""A pace that differs by less than this share from what was told is not told anew. A choice, not
+measured by itself."""
 
 
 class PaceSharing:
--- a/src/crankseam/jobs/placement.py
+++ b/src/crankseam/jobs/placement.py
@@ -8,7 +8,7 @@
 takes it while it has room and its event loop is not late; else the asker accepts it itself, unless
 the answer leaves open whether the asked one did.
 Protects: what a process has learned for its model: how many items run at each sampler, how fast
-each is, and open connections (2,013 -> 1,406 new ones and 12 -> 0 failed groups a day, 74882ba).
+each is, and open connections (2,013 -> 1,406 new ones and 12 -> 0 failed groups a day).
 Shown by: `job_handed_over`, `job_accepted`. Held by: tests/jobs/test_placement.py.
 """
 
@@ -33,15 +33,15 @@
 log = logging.getLogger(__name__)
 
 ACCEPT_S = 0.5
-"""The chosen process tries to accept a job for so long; then the asker accepts it itself. Set in
-74882ba, not measured by itself."""
+"""The chosen process tries to accept a job for so long; then the asker accepts it itself. A choice,
+not measured by itself."""
 ANSWER_SLACK_S = 0.15
 """Its answer is waited for so much longer: the way between two processes. Origin not recorded."""
 AVOID_S = 2.0
 """A process that did not take a job is not asked again for so long. Origin not recorded."""
 MOST_ITEMS = 512
 """Unlisted items with which a process still takes jobs from others: their events need processor
-time. 256 until its lag of the event loop counted too (04df5a2); not measured by itself."""
+time. 256 until its lag of the event loop counted too; not measured by itself."""
 
 
 def first_process(
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -123,8 +123,8 @@
 MemoryFinder = Callable[[str], EngineMemory | None]
 """The memory of a service's samplers; None if that is not known."""
 SIZE_STEP_EVENTS = 16
-"""Runs whose events differ by less than this are placed alike: a queue is worked out for each
-kind, and an event adds little memory. Set in 0dca76b, not measured by itself."""
+"""Runs whose events differ by less than this are placed alike: a queue is worked out for each kind,
+and an event adds little memory. A choice, not measured by itself."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -24,12 +24,12 @@
 
 UNCERTAIN_S = 0.4
 """A listing without an answer may have taken effect; after this its runner no longer knows what
-readers of the store have seen. Set in 04df5a2 after results that had been read were missing from an
-owner's answer; a call of the store is given up after 1 s."""
+readers of the store have seen. Set after results that had been read were missing from an owner's
+answer; a call of the store is given up after 1 s."""
 UNCHECKED_S = 0.9
 """The same while a former owner's last listing may still take effect, since the last look: more
-than FORMER_OWNER_LOOK_S of take_over.py, so that one look in time keeps a runner certain. Set in
-04df5a2."""
+than FORMER_OWNER_LOOK_S of take_over.py, so that one look in time keeps a runner certain. A
+choice."""
 RETRY_BASE_S = 0.05
 """First pause between two tries of a listing; see Backoff. Origin not recorded."""
 RETRY_CAP_S = 0.5
--- a/src/crankseam/jobs/retention.py
+++ b/src/crankseam/jobs/retention.py
@@ -28,8 +28,8 @@
 """Processes that may remove the same job come to it within so long of each other: the first does
 it, and the others see that it is gone. Origin not recorded."""
 KEPT_FACTOR = 2.0
-"""An ended job is kept this many times as long as the deployment allows it to be asked for.
-A choice (6ccbff5), not measured."""
+"""An ended job is kept this many times as long as the deployment allows it to be asked for. A
+choice, not measured."""
 
 
 class JobRetention:
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -23,8 +23,8 @@
 log = logging.getLogger(__name__)
 
 SAVE_INTERVAL_S = 0.8
-"""Seconds between two savings of texts: so much of each run is made again after a kill. Set in
-9e4705c: worth of a site 0.706 -> 0.892 by resuming at all; the interval was not varied."""
+"""Seconds between two savings of texts: so much of each run is made again after a kill. Measured:
+worth of a site 0.706 -> 0.892 by resuming at all; the interval was not varied."""
 RESTART_PAUSE_S = 0.5
 """An item whose task failed by a fault of this program is begun again after this. Origin not
 recorded."""
--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -21,19 +21,18 @@
 SAME_TIME_S = 2.0
 """Jobs that began within this time share the samplers item by item. Origin not recorded."""
 LONG_FACTOR = 1.5
-"""An item whose hint is this much above its job's median is a long one. Set in cb90c68, measured
-there together with the choice of the fastest samplers: 80 -> 81 of 81 groups in time."""
+"""An item whose hint is this much above its job's median is a long one. Measured together
+with the choice of the fastest samplers: 80 -> 81 of 81 groups in time."""
 LONG_RUN_EVENTS = 12
-"""A run of so many events is likely to be among those that the step waits for. Set in 74882ba: at
-24 events runs left slow samplers too late. Not measured by itself."""
+"""A run of so many events is likely to be among those that the step waits for. At 24 events runs
+left slow samplers too late. Not measured by itself."""
 FRESH_SLOTS_SHARE = 0.84
 """Items that have not begun leave the other slots to runs that were broken off, and to long ones:
 those are what a step waits for, and would else wait for a short one's end. Eight played days with
 trouble: worth 0.763 -> 0.790, mean step 7.36 -> 7.15 s (docs/DECISIONS.md)."""
 SCORING_SLOTS_SHARE = 0.5
-"""Of a back end's slots, scoring requests fill so many at most: callers' requests use the same
-back ends and find the other half free, whatever burst of items ends at once. A choice, not
-measured."""
+"""Of a back end's slots, scoring requests fill so many at most: callers' requests use the same back
+ends and find the other half free, whatever burst of items ends at once. A choice, not measured."""
 
 
 def rank_of(
--- a/src/crankseam/rollout/executors.py
+++ b/src/crankseam/rollout/executors.py
@@ -33,8 +33,8 @@
 log = logging.getLogger(__name__)
 
 LOCAL_STREAMS = 64
-"""Streams a driving node reads itself before it asks others (commit e9e2f91; the cost of a stream
-is in docs/CAPACITY.md). Origin of the value not recorded."""
+"""Streams a driving node reads itself before it asks others (the cost of a stream is in
+docs/CAPACITY.md). Origin of the value not recorded."""
 
 REMOTE_TIMEOUT_S = 1800.0
 """Longest time for which another node reads one stream. Origin not recorded."""
--- a/src/crankseam/settings.py
+++ b/src/crankseam/settings.py
@@ -50,14 +50,14 @@
     """Silence after which a member is no longer chosen for new duties."""
     dead_after: Duration = 3.0
     """Silence after which a member is declared dead; with spreading it stays under 5 s. Measured at
-    420 nodes with 4 s: deaths were known after 5.7 s in the median (commit ac7ff37)."""
+    420 nodes with 4 s: deaths were known after 5.7 s in the median."""
     weights_poll: Duration = 0.5
     """How often a weight coordinator looks for new versions and at its samplers."""
     configuration_term: Duration = 2.5
     """How long a node may serve under a revision after a majority was known to hold it."""
     longest_stall: Duration = 0.5
     """A process that stood still for longer renews its view before it sends anything new: well
-    under the 2 s in which a back end may leave (commit bcabb80)."""
+    under the 2 s in which a back end may leave."""
     clock_margin: Duration = 0.1
     """A holder gives up this much earlier than its term, for bounded drift of clock rates."""
     peer_timeout: Duration = 1.0
