--- a/src/crankseam/jobs/migration.py
+++ b/src/crankseam/jobs/migration.py
@@ -19,7 +19,8 @@
 from crankseam.serving.paces import SLOW_FACTOR
 
 LONG_RUN_SLOW_FACTOR = 1.2
-"""Long runs, which the step waits for, leave for a sampler that is faster by this. Measured only together with the order of items."""
+"""Long runs, which the step waits for, leave for a sampler that is faster by this.
+Measured only together with the order of items."""
 COOLDOWN_S = 1.0
 """A run that was moved stays for so many seconds, so that two samplers do not pass it to and fro:
 472 streams cut in a trial without it. 1 s is a choice, not measured by itself."""
