--- /dev/null
+++ b/tests/platform/test_job_calls.py
@@ -0,0 +1,20 @@
+import msgspec
+from crankseam_platform.job_calls import _as_many_as_fit, _Results
+
+from crankseam.jobs.model import ItemResult
+
+
+def test_a_page_of_results_on_the_wire():
+    """Written by the code that made it of plain dictionaries."""
+    results = [
+        ItemResult("i1", True, "text", [3, 4], "signature"),
+        ItemResult("i2", True, "", []),
+        ItemResult("i3", False),
+    ]
+    page = msgspec.json.encode(_Results(9, 5, _as_many_as_fit(results)))
+    assert page == (
+        b'{"total":9,"next_token":5,"results":['
+        b'{"id":"i1","state":"completed","text":"text","versions":[3,4],"score":"signature"},'
+        b'{"id":"i2","state":"completed","text":"","versions":[]},'
+        b'{"id":"i3","state":"lost","text":"","versions":[]}]}'
+    )
