--- a/src/crankseam/serving/messages.py
+++ b/src/crankseam/serving/messages.py
@@ -15,6 +15,7 @@
 from crankseam.serving.back_ends import BackEnd
 
 Headers = tuple[tuple[str, str], ...]
+"""Names and values in the order in which they came; a name may stand there more than once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crankseam/serving/routes.py
+++ b/src/crankseam/serving/routes.py
@@ -67,7 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDefinition:
-    """What the operator says of a service. `slots` is 0 where it is not told."""
+    """What the operator says of a service. `slots` is 0 where it is not told.
+
+    `max_connections` and `slots` are read by nothing: each back end tells its own slots.
+    """
 
     name: str
     max_connections: int = 0
@@ -80,7 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send; times are seconds."""
+    """What a caller may send; times are seconds.
+
+    Only `body_bytes` is read: the listener's other bounds are constants of the adapter.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 32 * 1024 * 1024
