--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -36,12 +36,12 @@
     def longest_queue_s(self, job: JobDefinition) -> float:
         """How long after its job was submitted an item may be given up."""
         route = self._find_route(job)
-        return route.max_queue if route is not None else DEFAULT_QUEUE_S
+        return route.longest_queue_s if route is not None else DEFAULT_QUEUE_S
 
     def due_s(self, job: JobDefinition) -> float:
         """How long after it was submitted a job's results are due."""
         route = self._find_route(job)
-        return route.due if route is not None else math.inf
+        return route.due_s if route is not None else math.inf
 
     async def make(
         self,
--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -89,8 +89,8 @@
 
 def scoring_patience_s(route: Route, silences: int) -> float:
     """How long the next back end has to answer a scoring request."""
-    first_s = max(SCORING_SHORTEST_PATIENCE_S, SCORING_PATIENCE_TARGETS * route.target_latency)
-    return min(route.timeout, first_s * 2.0**silences)
+    first_s = max(SCORING_SHORTEST_PATIENCE_S, SCORING_PATIENCE_TARGETS * route.target_latency_s)
+    return min(route.timeout_s, first_s * 2.0**silences)
 
 
 def most_scoring_failures(route: Route, job_attempts: int) -> int:
--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -100,12 +100,12 @@
 
 def attempts_end(request: InboundRequest, route: Route) -> float:
     """Time of promises, in seconds, at which a request is given up."""
-    return min(request.deadline, request.received_at + route.timeout) - ANSWER_MARGIN_S
+    return min(request.deadline, request.received_at + route.timeout_s) - ANSWER_MARGIN_S
 
 
 def reason_of_end(request: InboundRequest, route: Route) -> str:
     """Which of the two times passed."""
-    by_route = request.received_at + route.timeout <= request.deadline
+    by_route = request.received_at + route.timeout_s <= request.deadline
     return "route's timeout" if by_route else "caller's deadline"
 
 
@@ -130,7 +130,7 @@
 
 def hedge_after_s(route: Route) -> float:
     """Seconds after which a slow first attempt of a repeatable request gets a second beside it."""
-    return route.target_latency * HEDGE_TARGET_SHARE
+    return route.target_latency_s * HEDGE_TARGET_SHARE
 
 
 def is_server_error(answer: Answer | StreamingAnswer) -> bool:
--- a/src/crankseam/serving/routes.py
+++ b/src/crankseam/serving/routes.py
@@ -39,23 +39,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of a configuration. Times are seconds."""
+    """One route of a configuration."""
 
     name: str
     host: str
     path_prefix: str
     kind: RequestKind
     shares: tuple[Share, ...]
-    timeout: float
-    target_latency: float
+    timeout_s: float
+    target_latency_s: float
     max_attempts: int = 1
     priority: int = 5
     resumable: bool = False
     single_version: bool = False
     """All events of one result must be made by one weight version."""
-    max_queue: float = 60.0
+    longest_queue_s: float = 60.0
     """How long after its job was submitted an item may be given up."""
-    due: float = math.inf
+    due_s: float = math.inf
     """How long after its job was submitted results are due."""
     is_public: bool = False
     """Whether callers need no API key, where others do."""
--- a/tests/jobs/test_item_retry.py
+++ b/tests/jobs/test_item_retry.py
@@ -40,7 +40,7 @@
     [(0.4, 0, 1.2), (0.4, 1, 2.4), (0.4, 5, 10.0), (0.01, 0, SCORING_SHORTEST_PATIENCE_S)],
 )
 def test_a_back_end_has_a_multiple_of_the_target_to_score(target_s, silences, patience_s):
-    route = replace(make_route(), target_latency=target_s, timeout=10.0)
+    route = replace(make_route(), target_latency_s=target_s, timeout_s=10.0)
     assert scoring_patience_s(route, silences) == pytest.approx(patience_s)
 
 
