--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -76,7 +76,7 @@
 
     def release(self, back_end: BackEnd, item: str = "") -> None:
         """Give an item's place back."""
-        back_end.in_flight -= 1
+        back_end.release_slot()
         back_end.runs.pop(item, None)
         self._wake.set()
 
@@ -92,7 +92,7 @@
             if back_end is None:
                 left.append(request)
                 continue
-            back_end.in_flight += 1
+            back_end.occupy_slot()
             if request.need.item:
                 back_end.runs[request.need.item] = request.need.size
             request.place.set_result(back_end)
--- a/src/crankseam/jobs/migration_requests.py
+++ b/src/crankseam/jobs/migration_requests.py
@@ -81,7 +81,7 @@
         # A sampler that is behind the newest version loads soon, which breaks its runs off.
         newest = max(one.version_of(need.model) for one in free)
         chosen = min(free, key=lambda one: newest - one.version_of(need.model))
-        chosen.in_flight += 1
+        chosen.occupy_slot()
         if need.item:
             chosen.runs[need.item] = need.size
         request.granted = chosen
--- a/src/crankseam/jobs/noted_send.py
+++ b/src/crankseam/jobs/noted_send.py
@@ -25,7 +25,7 @@
         answer = await attempt
     except AttemptNotRun as refusal:
         send.was_not_run = True
-        guard.turned_away(back_end, refusal)
+        guard.rejected(back_end, refusal)
         raise
     except AttemptBroken as failure:
         send.ended_id = await guard.ended_id(back_end, failure)
--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -36,7 +36,7 @@
             return ""
         return back_end.record.id
 
-    def turned_away(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
+    def rejected(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
         """A back end rejected a request: perhaps another one stands at its address."""
         if refusal.wrong_instance:
             self._ends.found_another(back_end)
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -236,7 +236,7 @@
 
     def _take_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
         back_end.was_full()
-        self._guard.turned_away(back_end, rejection)
+        self._guard.rejected(back_end, rejection)
         if rejection.wrong_instance:
             back_end.failed()
 
