--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -169,7 +169,7 @@
         named = self._named[model]
         needed = self._demand.needed_version(model)
         late_count = 0
-        if named.is_late(now):
+        if back_ends and named.is_late(now):
             service = back_ends[0].record.service
             late_count = free_loads(self._registry.of_service(service))
         return due_samplers(
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -156,3 +156,16 @@
     coordinator, _ = coordinator_of(6, MODELS[:1], Demand(needed))
     coordinator.version_named("a", 2)
     assert len(due_ids(coordinator)) == 6
+
+
+async def test_a_model_that_no_sampler_carries_any_more_stops_no_other_model(monkeypatch):
+    clock = FakeClock()
+    monkeypatch.setattr(module, "time", clock)
+    coordinator, loads = coordinator_of(4, ["a"])
+    for version in (1, 2):
+        coordinator.version_named("gone", version)
+        clock.now += 10.0
+    coordinator.version_named("a", 2)
+    await coordinator._look()
+    await eventually(lambda: loads.loading)
+    assert set(loads.loading.values()) == {"a"}
