--- a/src/crankseam/coordination/follower.py
+++ b/src/crankseam/coordination/follower.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_SECONDS = 2.0
+WATCH_S = 2.0
 """Seconds after which a watch that saw nothing is asked anew, where no other time is given: it
 bounds what a stale watch can hide, one that waits at the store and misses changes."""
 ANSWER_SLACK_S = 0.5
@@ -48,9 +48,9 @@
     ==========
 
     on_change : called with a key and its entry, or None when the key is gone.
-    wait : longest seconds of one watch; with the slack it must stay below the time after which
+    wait_s : longest time of one watch; with the slack it must stay below the time after which
         this process counts as up to date again.
-    settle : seconds of pause after a watch that saw changes, so that many changes cost one call.
+    settle_s : pause after a watch that saw changes, so that many changes cost one call.
 
     Attributes
     ==========
@@ -67,15 +67,15 @@
         store: WatchedStore,
         prefix: str,
         on_change: ChangeHandler,
-        wait: float = WATCH_SECONDS,
-        settle: float = 0.0,
+        wait_s: float = WATCH_S,
+        settle_s: float = 0.0,
     ) -> None:
         self._store = store
         self.prefix = prefix
         self._on_change = on_change
         self._listeners: list[tuple[str, ChangeHandler]] = []
-        self._wait_s = wait
-        self._settle_s = settle
+        self._wait_s = wait_s
+        self._settle_s = settle_s
         self.entries: dict[str, Entry] = {}
         self.revision = 0
         self._synchronized = asyncio.Event()
--- a/src/crankseam/coordination/interface.py
+++ b/src/crankseam/coordination/interface.py
@@ -114,8 +114,8 @@
     async def page(self, prefix: str, after_key: str = "") -> Page:
         """One page of a range; linearizable, but pages together are no snapshot."""
 
-    async def watch(self, prefix: str, after_revision: int, wait: float) -> Changes:
-        """Changes after a revision, as soon as there is one, or none after `wait` seconds.
+    async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
+        """Changes after a revision, as soon as there is one, or none after `wait_s` seconds.
 
         Raises
         ======
--- a/src/crankseam/coordination/metered_store.py
+++ b/src/crankseam/coordination/metered_store.py
@@ -44,9 +44,9 @@
         """See CoordinationStore."""
         return await self._timed("page", self._store.page(prefix, after_key))
 
-    async def watch(self, prefix: str, after_revision: int, wait: float) -> Changes:
+    async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
         """See CoordinationStore."""
-        return await self._timed("watch", self._store.watch(prefix, after_revision, wait))
+        return await self._timed("watch", self._store.watch(prefix, after_revision, wait_s))
 
     async def commit(self, transaction: Transaction) -> int:
         """See CoordinationStore."""
--- a/src/crankseam/coordination/relay.py
+++ b/src/crankseam/coordination/relay.py
@@ -148,9 +148,9 @@
         answer = await self._make(RelayCall("page", key=prefix, after_key=after_key))
         return Page(answer.entries, answer.more, answer.revision)
 
-    async def watch(self, prefix: str, after_revision: int, wait: float) -> Changes:
+    async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
         """See CoordinationStore."""
-        call = RelayCall("watch", key=prefix, after_revision=after_revision, wait=wait)
+        call = RelayCall("watch", key=prefix, after_revision=after_revision, wait=wait_s)
         answer = await self._make(call)
         changes: list[Entry | Removal] = [*answer.entries, *answer.removals]
         changes.sort(key=lambda change: change.revision)
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -141,7 +141,7 @@
         follower = self._followers.get(prefix)
         return follower is not None and answer.revision < follower.revision
 
-    async def watch(self, prefix: str, after_revision: int, wait: float) -> Changes:
+    async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
         """See WatchedStore.
 
         One process is asked at most: the store itself is the next, so that two silent ones do not
@@ -149,7 +149,7 @@
         """
         roles = self._roles()
         if roles.is_watcher:
-            return await self._watch_for_all(prefix, after_revision, wait)
+            return await self._watch_for_all(prefix, after_revision, wait_s)
         answerer = self._pick_answerer(roles)
         if answerer is not None:
             wait_s = self._times.mirror_wait_s if roles.is_answerer else self._times.fresh_s
@@ -160,7 +160,7 @@
             if answer is not None:
                 return await self._whole(answer)
         return await self._store.watch(
-            prefix, after_revision, min(wait, self._times.reader_watch_s)
+            prefix, after_revision, min(wait_s, self._times.reader_watch_s)
         )
 
     async def _watch_for_all(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -9,7 +9,7 @@
 
 import logging
 
-from crankseam.coordination.follower import WATCH_SECONDS, PrefixFollower
+from crankseam.coordination.follower import WATCH_S, PrefixFollower
 from crankseam.coordination.interface import CoordinationStore, Entry, WatchedStore
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.jobs.acceptance import JobAcceptance
@@ -52,7 +52,7 @@
         maker: ItemMaker,
         find_route: RouteFinder,
         supervisor: Supervisor,
-        watch_wait: float = WATCH_SECONDS,
+        watch_wait_s: float = WATCH_S,
         watched: WatchedStore | None = None,
         owners: OwnerClient | None = None,
     ) -> None:
@@ -71,7 +71,9 @@
         self.pace_sharing = PaceSharing(
             store, self.lease, process, dispatcher.paces, dispatcher.knows
         )
-        self.state = PrefixFollower(watched or store, STATE_PREFIX, self._state_changed, watch_wait)
+        self.state = PrefixFollower(
+            watched or store, STATE_PREFIX, self._state_changed, watch_wait_s
+        )
         self.claims = JobClaims(
             self._repository, self.lease, self.running, supervisor, process, self.state
         )
--- a/src/crankseam_standins/memory_store.py
+++ b/src/crankseam_standins/memory_store.py
@@ -107,9 +107,9 @@
         found = [self.entries[key] for key in keys[:PAGE_ENTRIES]]
         return Page(found, len(keys) > PAGE_ENTRIES, self.revision)
 
-    async def watch(self, prefix: str, after_revision: int, wait: float) -> Changes:
+    async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
         """See CoordinationStore."""
-        end = time.monotonic() + wait
+        end = time.monotonic() + wait_s
         if self.faults.deaf:
             await asyncio.Event().wait()
         while True:
