--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -60,12 +60,17 @@
     """Runs generations at samplers."""
 
     def generate(
-        self, back_end: BackEnd, job: JobDefinition, item: ItemDefinition, after: int, limit: float
+        self,
+        back_end: BackEnd,
+        job: JobDefinition,
+        item: ItemDefinition,
+        after: int,
+        limit_s: float,
     ) -> AsyncGenerator[GeneratedEvent, None]:
         """Events after number `after`, until the generation is whole.
 
         Args:
-            limit: seconds after which the sampler is to stop its work.
+            limit_s: seconds after which the sampler is to stop its work.
 
         Raises:
             AttemptNotRun, AttemptBroken, ItemFailed, ItemImpossible
@@ -313,7 +318,7 @@
         now = time.monotonic()
         if not self._migration_timer.may_move(now):
             return
-        if self._migration_timer.is_look_due(now):
+        if self._migration_timer.take_look(now):
             self._migration = self._dispatcher.request_migration(
                 self._migration, back_end, self._need(), self._text_version()
             )
--- a/src/crankseam/jobs/migration.py
+++ b/src/crankseam/jobs/migration.py
@@ -76,8 +76,8 @@
         """Whether the last move is long enough ago."""
         return now - self.moved_at >= COOLDOWN_S
 
-    def is_look_due(self, now: float) -> bool:
-        """Whether to look for a faster sampler now; then the next look is due later."""
+    def take_look(self, now: float) -> bool:
+        """Whether to look for a faster sampler now; if so, the next look is due later."""
         if now < self.look_again_at:
             return False
         self.look_again_at = now + LOOK_S
--- a/tests/jobs/test_migration.py
+++ b/tests/jobs/test_migration.py
@@ -48,5 +48,5 @@
 @pytest.mark.parametrize(("later_s", "is_due"), [(LOOK_S / 2, False), (LOOK_S, True)])
 def test_a_run_looks_now_and_then(later_s, is_due):
     timer = MigrationTimer()
-    assert timer.is_look_due(100.0)
-    assert timer.is_look_due(100.0 + later_s) == is_due
+    assert timer.take_look(100.0)
+    assert timer.take_look(100.0 + later_s) == is_due
