--- a/src/crankseam/controllers/weight_rules.py
+++ b/src/crankseam/controllers/weight_rules.py
@@ -64,7 +64,7 @@
         self.is_loaded = False
         self.is_serving = False
 
-    def take_look(self, now: float) -> bool:
+    def is_look_due(self, now: float) -> bool:
         """Whether to ask the sampler for its state."""
         return not self.is_known and now - self.looked_at >= LOOK_S
 
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -159,7 +159,7 @@
 
         async def look(sampler: BackEnd) -> None:
             progress = self._progress_of(sampler.name, version)
-            if not progress.take_look(now):
+            if not progress.is_look_due(now):
                 return
             progress.looked_at = now
             try:
--- a/tests/controllers/test_weight_rules.py
+++ b/tests/controllers/test_weight_rules.py
@@ -13,12 +13,12 @@
 
 def test_a_sampler_of_unknown_state_is_asked_every_few_seconds():
     progress = SamplerProgress(7)
-    assert progress.take_look(now=0.0)
+    assert progress.is_look_due(now=0.0)
     progress.looked_at = 10.0
-    assert not progress.take_look(now=10.0 + LOOK_S - 0.1)
-    assert progress.take_look(now=10.0 + LOOK_S)
+    assert not progress.is_look_due(now=10.0 + LOOK_S - 0.1)
+    assert progress.is_look_due(now=10.0 + LOOK_S)
     progress.is_known = True
-    assert not progress.take_look(now=100.0)
+    assert not progress.is_look_due(now=100.0)
 
 
 def test_a_sampler_loads_once_it_is_known_and_not_before_its_pause_is_over():
