--- a/src/crankseam/serving/engine_memory.py
+++ b/src/crankseam/serving/engine_memory.py
@@ -9,9 +9,11 @@
 from dataclasses import dataclass
 
 SOON_EVENTS = 10
-"""A run that began lately is counted with so many events more: half a second of its growth."""
+"""A run that began lately is counted with so many events more: half a second of its growth.
+Origin not recorded."""
 AGAIN_FACTOR = 2.0
-"""Lengths have a long tail: a run that made many events is expected to make as many again."""
+"""Lengths have a long tail: a run that made many events is expected to make as many again.
+Origin not recorded."""
 OTHERS_TOKENS = 2000
 """What a run of another process is counted as: a prompt and the mean text of the users' sheets."""
 
--- a/src/crankseam/serving/paces.py
+++ b/src/crankseam/serving/paces.py
@@ -16,19 +16,25 @@
 from crankseam.serving.back_ends import BackEnd
 
 STEADY_WINDOW_S = 2.0
-"""A sampler's own pace, which seldom changes: a burst of prompts must not pass for it."""
+"""Window of a sampler's own pace, which seldom changes: smoothed by events, a burst of prompts at a
+full sampler passed for a slow one, and 381 of 2,276 runs were moved. The figure is a choice."""
 RECENT_WINDOW_S = 0.3
-"""The pace of the moment: a sampler that turns slow shows within a few events."""
+"""Window of the pace of the moment: a sampler that turns slow shows within a few events. A
+choice."""
 BELIEVED_S = 15.0
-"""Jobs of one model come to the same process each few seconds."""
+"""An observation is believed for so long: jobs of one model come to the same process each few
+seconds. Origin not recorded."""
 FASTEST_S = 0.005
-"""Events that come faster than this are never slow: between them only noise is left."""
+"""Events that come faster than this are never slow: between them only noise is left. Origin not
+recorded."""
 PACE_CLASS = 0.15
-"""Samplers whose paces differ by less than this share are taken for equally fast."""
+"""Samplers whose paces differ by less than this share are taken for equally fast. Set with the
+choice of the fastest samplers for long items; the figure was not measured by itself."""
 SLOW_FACTOR = 1.8
-"""A sampler whose events take this much longer than the others' median is a slow one."""
+"""A sampler whose events take this many times the others' median is a slow one. Origin not
+recorded."""
 FEWEST_OTHERS = 2
-"""So many others must be known before a sampler can be told to be slow."""
+"""So many others must be known before a sampler can be told to be slow. Origin not recorded."""
 
 
 @dataclass(slots=True)
@@ -103,10 +109,6 @@
         observed = self._observed(back_end)
         return observed.recent_s if observed is not None else None
 
-    def is_slow(self, back_end: BackEnd, service: Sequence[BackEnd]) -> bool:
-        """Whether its events take much longer, now, than those of its service's other samplers."""
-        return back_end.record.id in self.slow_ids(service)
-
     def slow_ids(self, service: Sequence[BackEnd]) -> set[str]:
         """Samplers of a service whose events take much longer, now, than those of the others."""
         steady = {one.record.id: pace for one in service if (pace := self.steady_s(one))}
--- a/src/crankseam/serving/suspension.py
+++ b/src/crankseam/serving/suspension.py
@@ -1,8 +1,11 @@
-"""Notices that the machine was suspended, so that nothing is answered by what was known before.
-
-The two clocks of a process drift apart by the time for which its machine was suspended. Leases and
-ages count that time anyway; what remains is to ask anew at once, and to let requests wait for the
-answer a little.
+"""What does a process do first after its machine was suspended?
+
+Inputs: the two clocks of the process (seconds), which drift apart by the time for which the machine
+was suspended; since when the configuration is known to be the newest.
+Rule: it asks anew at once for all that it follows and renews its lease; a request waits until the
+configuration is confirmed, or for SETTLE_S. Leases and ages count the suspended time anyway.
+Protects: callers from answers by what was known before the suspension.
+Shown by: `suspended`. Held by: tests/serving/test_suspension.py, tests/test_clocks.py.
 """
 
 from __future__ import annotations
@@ -18,7 +21,7 @@
 LOOK_S = 0.1
 """Seconds between two looks in the background; each request looks too. Origin not recorded."""
 SUSPENDED_S = 0.1
-"""The clocks drift apart by this only while the machine is suspended."""
+"""Seconds by which the clocks drift apart only while the machine is suspended. A choice."""
 SETTLE_S = 0.3
 """Requests wait so long at most for the first confirmation after a suspension: ten times what a
 store takes that answers. One that is away must not stop the service."""
--- a/tests/serving/test_paces.py
+++ b/tests/serving/test_paces.py
@@ -51,8 +51,7 @@
     for one in samplers:
         play(paces, clock, one, 0.05, 2.0)
     play(paces, clock, samplers[0], 0.2, 0.8)
-    assert paces.is_slow(samplers[0], samplers)
-    assert not paces.is_slow(samplers[1], samplers)
+    assert paces.slow_ids(samplers) == {samplers[0].record.id}
 
 
 def test_unknown_samplers_stand_in_the_middle():
