--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -2,7 +2,7 @@
 
 Owns the registry of back ends by id, as discovery fills it, and the time for which a back end is
 avoided after it failed. Relies on the reports that back ends send with their answers. Which of them
-gets a request is decided in `choice` (requests) and `jobs.places` (items).
+gets a request is decided in `load_balancing` (requests) and `jobs.places` (items).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-LOAD_REPORT_S = 1.5
+LOAD_REPORT_MAX_AGE_S = 1.5
 """A reported load older than so many seconds is not believed any more. Origin not recorded."""
 AVOID_BASE_S = 0.4
 """Seconds for which a back end is avoided after its first failure. Origin not recorded."""
@@ -87,7 +87,7 @@
 
     def expected_load(self, now: float) -> float:
         """Requests there: this process's own and, while the report is fresh, those of others."""
-        if now - self.reported_at > LOAD_REPORT_S:
+        if now - self.reported_at > LOAD_REPORT_MAX_AGE_S:
             return float(self.in_flight)
         return self.in_flight + max(0, self.reported_load - self.reported_own)
 
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -1,8 +1,8 @@
 """Forwards one request to a back end, and again where that is allowed.
 
 Owns the attempts of a request: their tasks, their end at the deadline, and what each back end is
-told of them (slots in use, failures). The decisions are elsewhere: which back end in `choice`, how
-often and when to give up in `retry`, whether it is held back in `quarantine`.
+told of them (slots in use, failures). The decisions are elsewhere: which back end in
+`load_balancing`, how often and when to give up in `retry`, whether it is held back in `quarantine`.
 Relies on the registry for what discovery says, and on a `BackEndClient` for the wire.
 """
 
@@ -21,7 +21,7 @@
 from crankseam.quarantine.trial import Send, Trial
 from crankseam.serving import retry
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
-from crankseam.serving.choice import choose
+from crankseam.serving.load_balancing import choose_back_end
 from crankseam.serving.messages import (
     Answer,
     AttemptBroken,
@@ -146,9 +146,9 @@
         now = clocks.paced_s()
         service = self._registry.of_service(forwarding.service)
         candidates = [one for one in service if self._registry.may_send(one, now)]
-        found = choose(candidates, self._zone, now, history.tried)
+        found = choose_back_end(candidates, self._zone, now, history.tried)
         if found is None and retry.may_repeat_back_ends(history):
-            found = choose(candidates, self._zone, now)
+            found = choose_back_end(candidates, self._zone, now)
         return found
 
     async def _hedged(
--- a/tests/serving/test_choice.py
+++ b/tests/serving/test_load_balancing.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from crankseam.serving.back_ends import BackEnd, BackEndRecord, BackEndRegistry
-from crankseam.serving.choice import choose as choose_at
+from crankseam.serving.load_balancing import choose_back_end
 from crankseam.serving.routes import (
     Configuration,
     RequestKind,
@@ -26,7 +26,7 @@
 
 
 def choose(candidates, zone, excluded=()):
-    return choose_at(candidates, zone, time.monotonic(), excluded)
+    return choose_back_end(candidates, zone, time.monotonic(), excluded)
 
 
 def test_the_longest_prefix_of_the_host_wins():
@@ -71,7 +71,10 @@
     assert choose([there, here], "z") is there
     here.in_flight, twin = 0, back_end("twin", zone="z")
     generator, now = random.Random(1), time.monotonic()
-    assert {choose_at([here, twin], "z", now, (), generator) for _ in range(20)} == {here, twin}
+    assert {choose_back_end([here, twin], "z", now, (), generator) for _ in range(20)} == {
+        here,
+        twin,
+    }
 
 
 def test_an_id_that_comes_back_after_it_went_is_another_incarnation():
