--- a/src/crankseam/serving/tenants.py
+++ b/src/crankseam/serving/tenants.py
@@ -1,6 +1,6 @@
-"""Tenants: whose a request is, by the API key that its caller shows.
+"""Tenants, and the lookup of a request's tenant by the API key that the caller presents.
 
-Keys are kept as digests only, so that nothing that is logged, shown or dumped holds one.
+Keys are stored only as digests, so that no log line, output or memory dump contains a key.
 """
 
 from __future__ import annotations
@@ -9,53 +9,62 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-LONGEST_KEY_BYTES = 1024
-"""A longer key is not known, whatever a configuration says; hashing it would cost more than it is
-worth."""
-SCHEME = "bearer"
-"""The one scheme of RFC 6750; schemes are written in either case."""
+MAX_KEY_BYTES = 1024
+"""Longer keys are rejected in a configuration and unknown in a request. This bounds the cost of
+hashing a key."""
+BEARER_SCHEME = "bearer"
+"""The authentication scheme of RFC 6750, in lower case: scheme names are case-insensitive."""
 NO_TENANT = ""
-"""Name of the tenant of what nobody in particular owns."""
+"""Tenant name of requests and jobs that belong to no tenant."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant. ``priority`` goes before that of a route; None leaves the route's."""
+    """One tenant.
+
+    Attributes
+    ==========
+
+    priority : overrides the priority of the route; None keeps the route's priority.
+    """
 
     name: str
     priority: int | None = None
 
 
-def effective_priority(tenant: Tenant | None, of_route: int) -> int:
-    """The priority of a tenant's requests: 0 goes first."""
+def effective_priority(tenant: Tenant | None, route_priority: int) -> int:
+    """Return the priority of a tenant's requests; 0 is served first."""
     if tenant is None or tenant.priority is None:
-        return of_route
+        return route_priority
     return tenant.priority
 
 
 class TenantsInvalid(ValueError):
-    """Two tenants hold one key, or a key is none; no text of this error holds a key."""
+    """Two tenants share a key, or a key is empty or too long.
 
+    The message never contains a key.
+    """
 
-def digest_of_key(key: str) -> bytes:
-    """What is kept of a key.
 
-    Keys are long random texts, so a plain hash is enough: there is nothing to guess.
+def key_digest(key: str) -> bytes:
+    """Return the digest under which a key is stored.
+
+    A plain hash is sufficient: keys are long random strings, which cannot be found by guessing.
     """
     return hashlib.sha256(key.encode()).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class TenantDirectory:
-    """The tenants of one configuration, by the digests of their keys.
+    """The tenants of one configuration, indexed by the digests of their keys.
 
     Examples
     ========
 
     >>> directory = TenantDirectory.of([(Tenant("clinics"), ["k1", "k2"])])
-    >>> directory.of_key("k2").name
+    >>> directory.find_by_key("k2").name
     'clinics'
-    >>> directory.of_key("k3") is None
+    >>> directory.find_by_key("k3") is None
     True
     """
 
@@ -63,33 +72,39 @@
 
     @classmethod
     def of(cls, entries: Iterable[tuple[Tenant, Sequence[str]]]) -> TenantDirectory:
-        """The directory of tenants with their keys; raises TenantsInvalid."""
+        """Build a directory from tenants and their keys.
+
+        Raises
+        ======
+
+        TenantsInvalid : two tenants share a key, or a key is empty or too long.
+        """
         by_digest: dict[bytes, Tenant] = {}
         for tenant, keys in entries:
             for key in keys:
-                if not key or len(key.encode()) > LONGEST_KEY_BYTES:
+                if not key or len(key.encode()) > MAX_KEY_BYTES:
                     raise TenantsInvalid(f"a key of tenant {tenant.name} is empty or too long")
-                other = by_digest.setdefault(digest_of_key(key), tenant)
+                other = by_digest.setdefault(key_digest(key), tenant)
                 if other.name != tenant.name:
                     raise TenantsInvalid(f"tenants {other.name} and {tenant.name} share a key")
         return cls(by_digest)
 
-    def of_key(self, key: str) -> Tenant | None:
-        """The tenant that holds a key; None if nobody does."""
-        if not key or len(key.encode(errors="replace")) > LONGEST_KEY_BYTES:
+    def find_by_key(self, key: str) -> Tenant | None:
+        """Return the tenant that owns a key, or None."""
+        if not key or len(key.encode(errors="replace")) > MAX_KEY_BYTES:
             return None
-        return self.by_digest.get(digest_of_key(key))
+        return self.by_digest.get(key_digest(key))
 
 
-def shown_key(authorizations: Sequence[str]) -> str | None:
-    """The key that a request shows by its ``Authorization`` headers.
+def bearer_key(authorizations: Sequence[str]) -> str | None:
+    """Return the API key from the ``Authorization`` headers of a request.
 
-    None unless there is just one such header, of the scheme `Bearer`, with one key.
+    Returns None unless there is exactly one such header, with the scheme `Bearer` and one key.
     """
     if len(authorizations) != 1:
         return None
     scheme, _, key = authorizations[0].strip().partition(" ")
     key = key.strip()
-    if scheme.lower() != SCHEME or not key or " " in key:
+    if scheme.lower() != BEARER_SCHEME or not key or " " in key:
         return None
     return key
--- a/tests/serving/test_admission.py
+++ b/tests/serving/test_admission.py
@@ -20,9 +20,9 @@
     configuration = Configuration(1, (route(),), tenants=TENANTS)
     found = admission().tenant_for_route(configuration, route(), ["Bearer ka"])
     assert found == Tenant("a")
-    for shown in ([], ["Bearer kc"], ["Bearer ka", "Bearer kb"], ["Basic ka"]):
+    for headers in ([], ["Bearer kc"], ["Bearer ka", "Bearer kb"], ["Basic ka"]):
         with pytest.raises(Unauthorized):
-            admission().tenant_for_route(configuration, route(), shown)
+            admission().tenant_for_route(configuration, route(), headers)
 
 
 def test_a_public_route_and_a_configuration_without_tenants_need_none():
@@ -34,9 +34,9 @@
 
 
 def test_without_any_tenant_left_no_route_opens():
-    nobody = Configuration(1, (route(),), tenants=TenantDirectory())
+    no_tenants = Configuration(1, (route(),), tenants=TenantDirectory())
     with pytest.raises(Unauthorized):
-        admission().tenant_for_route(nobody, route(), ["Bearer ka"])
+        admission().tenant_for_route(no_tenants, route(), ["Bearer ka"])
 
 
 def test_calls_on_jobs_need_a_key_unless_a_job_route_of_the_host_is_public():
@@ -52,12 +52,12 @@
 
 def test_strict_revocation_refuses_where_the_key_can_not_be_confirmed():
     configuration = Configuration(1, (route(),), tenants=TENANTS)
-    shown = ["Bearer ka"]
-    assert admission(True, 4.9).tenant_for_route(configuration, route(), shown)
+    headers = ["Bearer ka"]
+    assert admission(True, 4.9).tenant_for_route(configuration, route(), headers)
     with pytest.raises(Unavailable) as raised:
-        admission(True, 5.1).tenant_for_route(configuration, route(), shown)
+        admission(True, 5.1).tenant_for_route(configuration, route(), headers)
     assert raised.value.retry_after
-    assert admission(False, 99.0).tenant_for_route(configuration, route(), shown)
+    assert admission(False, 99.0).tenant_for_route(configuration, route(), headers)
     with pytest.raises(Unauthorized):
         admission(True, 99.0).tenant_for_route(configuration, route(), ["Bearer kc"])
     assert admission(True, 99.0).tenant_for_route(configuration, route(is_public=True), []) is None
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -1,21 +1,21 @@
 import pytest
 
 from crankseam.serving.tenants import (
-    LONGEST_KEY_BYTES,
+    MAX_KEY_BYTES,
     Tenant,
     TenantDirectory,
     TenantsInvalid,
+    bearer_key,
     effective_priority,
-    shown_key,
 )
 
 
 def test_a_key_belongs_to_the_tenant_that_holds_it():
     directory = TenantDirectory.of([(Tenant("a", 1), ["k1", "k2"]), (Tenant("b"), ["k3"])])
-    assert directory.of_key("k1") == directory.of_key("k2") == Tenant("a", 1)
-    assert directory.of_key("k3") == Tenant("b")
-    assert directory.of_key("k4") is None
-    assert directory.of_key("") is None
+    assert directory.find_by_key("k1") == directory.find_by_key("k2") == Tenant("a", 1)
+    assert directory.find_by_key("k3") == Tenant("b")
+    assert directory.find_by_key("k4") is None
+    assert directory.find_by_key("") is None
 
 
 def test_no_key_is_kept_as_it_is():
@@ -30,11 +30,11 @@
     assert "secret-k" not in str(raised.value)
 
 
-@pytest.mark.parametrize("key", ["", "x" * (LONGEST_KEY_BYTES + 1)])
+@pytest.mark.parametrize("key", ["", "x" * (MAX_KEY_BYTES + 1)])
 def test_a_key_that_is_none_is_refused_where_it_is_set_and_known_nowhere(key):
     with pytest.raises(TenantsInvalid):
         TenantDirectory.of([(Tenant("a"), [key])])
-    assert TenantDirectory().of_key(key) is None
+    assert TenantDirectory().find_by_key(key) is None
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
     ],
 )
 def test_what_key_a_request_shows(headers, key):
-    assert shown_key(headers) == key
+    assert bearer_key(headers) == key
 
 
 def test_a_tenants_priority_goes_before_its_routes():
