--- a/src/crankseam/serving/suspension.py
+++ b/src/crankseam/serving/suspension.py
@@ -1,11 +1,14 @@
-"""What does a process do first after its machine was suspended?
-
-Inputs: the two clocks of the process (seconds), which drift apart by the time for which the machine
-was suspended; since when the configuration is known to be the newest.
-Rule: it asks anew at once for all that it follows and renews its lease; a request waits until the
-configuration is confirmed, or for SETTLE_S. Leases and ages count the suspended time anyway.
-Protects: callers from answers by what was known before the suspension.
-Shown by: `suspended`. Held by: tests/serving/test_suspension.py, tests/test_clocks.py.
+"""Detects that the machine was suspended, and refreshes stale state when it resumes.
+
+Inputs: the two clocks of the process, in seconds (`clocks.promised_s` counts the time for which the
+machine is suspended, `clocks.paced_s` does not); the time as of which the configuration was last
+known to be the newest.
+Rule: After a suspension the process immediately repeats the requests for everything that it watches
+and renews its lease. A request waits until the configuration is confirmed, for at most
+`CONFIRMATION_TIMEOUT_S`. Leases and ages need no correction, since they include the suspended time.
+Purpose: Keeps callers from being answered by state from before the suspension.
+Logged as: `suspended`.
+Tested by: tests/serving/test_suspension.py, tests/test_clocks.py.
 """
 
 from __future__ import annotations
@@ -18,59 +21,70 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.1
-"""Seconds between two looks in the background; each request looks too. Origin not recorded."""
-SUSPENDED_S = 0.1
-"""Seconds by which the clocks drift apart only while the machine is suspended. A choice."""
-SETTLE_S = 0.3
-"""Requests wait so long at most for the first confirmation after a suspension: ten times what a
-store takes that answers. One that is away must not stop the service."""
-SETTLE_LOOK_S = 0.01
-"""Seconds between two looks of a request that waits. Origin not recorded."""
+CHECK_INTERVAL_S = 0.1
+"""Seconds between two background checks. In addition, every request makes a check."""
+MIN_SUSPENSION_S = 0.1
+"""Seconds. If the difference between the clocks grows by at least this much between two checks, the
+machine was suspended."""
+CONFIRMATION_TIMEOUT_S = 0.3
+"""Longest time, in seconds, for which a request waits for the first confirmation after a
+suspension: ten times the response time of an available store. The wait is bounded because an
+unavailable store must not stop the service."""
+CONFIRMATION_POLL_S = 0.01
+"""Seconds between two checks for the confirmation while a request waits."""
 
 
 class SuspensionWatch:
-    """Compares the clocks.
+    """Detects suspensions by comparing the two clocks.
 
     Parameters
     ==========
 
-    confirmed_at : time of promises as of which the configuration is known to be the newest.
+    confirmed_at : returns the time, in seconds of `clocks.promised_s`, as of which the
+        configuration is known to be the newest.
+
+    Attributes
+    ==========
+
+    on_woken : callbacks that are invoked after each suspension.
     """
 
     def __init__(self, confirmed_at: Callable[[], float]) -> None:
         self._confirmed_at = confirmed_at
-        self._apart_s = self._measure()
-        self._woken_at = float("-inf")
+        self._offset_s = self._clock_offset_s()
+        self._resumed_at = float("-inf")
         self.on_woken: list[Callable[[], None]] = []
 
     @staticmethod
-    def _measure() -> float:
+    def _clock_offset_s() -> float:
         return clocks.promised_s() - clocks.paced_s()
 
-    def look(self) -> None:
-        """Compare them once."""
-        apart_s = self._measure()
-        grown_s, self._apart_s = apart_s - self._apart_s, apart_s
-        if grown_s < SUSPENDED_S:
+    def check(self) -> None:
+        """Compare the clocks once, and invoke the callbacks if the machine was suspended."""
+        offset_s = self._clock_offset_s()
+        suspended_s, self._offset_s = offset_s - self._offset_s, offset_s
+        if suspended_s < MIN_SUSPENSION_S:
             return
-        self._woken_at = clocks.promised_s()
-        log.warning("suspended", extra={"seconds": round(grown_s, 3)})
+        self._resumed_at = clocks.promised_s()
+        log.warning("suspended", extra={"seconds": round(suspended_s, 3)})
         for notify in self.on_woken:
             notify()
 
     async def settle(self) -> None:
-        """Before a request: after a suspension, wait until the configuration is confirmed."""
-        self.look()
-        end = self._woken_at + SETTLE_S
-        while not self._is_confirmed() and clocks.promised_s() < end:  # noqa: ASYNC110 - time decides
-            await asyncio.sleep(SETTLE_LOOK_S)
+        """Wait until the configuration is confirmed if the machine was suspended.
+
+        Called before each request is served.
+        """
+        self.check()
+        end = self._resumed_at + CONFIRMATION_TIMEOUT_S
+        while not self._is_confirmed() and clocks.promised_s() < end:  # noqa: ASYNC110 - time-bounded
+            await asyncio.sleep(CONFIRMATION_POLL_S)
 
     def _is_confirmed(self) -> bool:
-        return self._confirmed_at() >= self._woken_at
+        return self._confirmed_at() >= self._resumed_at
 
     async def run(self) -> None:
-        """Compare them until cancelled."""
+        """Compare the clocks periodically until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.check()
--- a/tests/serving/test_suspension.py
+++ b/tests/serving/test_suspension.py
@@ -10,14 +10,14 @@
 @pytest.fixture
 def suspend(monkeypatch):
     def suspend(seconds):
-        usual = time.clock_gettime
-        monkeypatch.setattr(time, "clock_gettime", lambda clock: usual(clock) + seconds)
+        original = time.clock_gettime
+        monkeypatch.setattr(time, "clock_gettime", lambda clock: original(clock) + seconds)
 
     return suspend
 
 
 class Confirmation:
-    """When the configuration was confirmed last."""
+    """Records the time at which the configuration was last confirmed."""
 
     def __init__(self):
         self.at = float("-inf")
@@ -27,13 +27,13 @@
 
 
 async def test_a_suspension_is_noticed_once_and_told(suspend):
-    watch, woken = SuspensionWatch(lambda: 0.0), []
-    watch.on_woken.append(lambda: woken.append(1))
-    watch.look()
+    watch, notified = SuspensionWatch(lambda: 0.0), []
+    watch.on_woken.append(lambda: notified.append(1))
+    watch.check()
     suspend(3.0)
-    watch.look()
-    watch.look()
-    assert woken == [1]
+    watch.check()
+    watch.check()
+    assert notified == [1]
 
 
 async def test_a_request_after_it_waits_for_the_first_confirmation(suspend):
