--- a/src/crankseam/serving/ended_back_ends.py
+++ b/src/crankseam/serving/ended_back_ends.py
@@ -1,11 +1,14 @@
-"""Did a back end end, or did only its connection break?
-
-Inputs: what discovery shows of it, and whether its address takes connections right after the break.
-Rule: It ended if discovery shows it serving and its address refuses connections, or answers as
-another back end. One that was leaving ended as planned; one that is silent is not known to have
-ended.
-Protects: requests from being held back for connections that broke for other reasons.
-Shown by: `back_end_ended`. Held by: tests/serving/test_ended_back_ends.py.
+"""Distinguishes a back end that terminated unexpectedly from one whose connection merely broke.
+
+Inputs: the state of the back end in discovery; whether its address accepts connections immediately
+after a connection broke.
+Rule: A back end has ended unexpectedly if discovery lists it as serving and its address refuses
+connections or belongs to another back end by now. A back end that was leaving has ended as planned.
+A back end whose address does not respond at all is not considered ended.
+Purpose: Prevents requests from being quarantined because of connections that broke for other
+reasons.
+Logged as: `back_end_ended`.
+Tested by: tests/serving/test_ended_back_ends.py.
 """
 
 from __future__ import annotations
@@ -18,58 +21,65 @@
 
 log = logging.getLogger(__name__)
 
-ADDRESS_REFUSES = "its address refuses connections"
-ADDRESS_IS_ANOTHERS = "another back end answers at its address"
+CONNECTION_REFUSED = "its address refuses connections"
+OTHER_BACK_END_ANSWERED = "another back end answers at its address"
 
 
 class AddressProbe(Protocol):
-    """Looks whether anything listens at a back end's address."""
+    """Checks whether any process listens at the address of a back end."""
 
     async def refuses_connections(self, back_end: BackEnd) -> bool:
-        """Whether the address said that nothing listens there; False if it said nothing."""
+        """Whether a connection attempt was refused; False if there was no response at all."""
 
 
 class EndedBackEnds:
-    """Which back ends ended without having said so.
+    """Detects back ends that terminated without announcing it.
 
-    A connection breaks for many reasons: a reset, a cut link, a load of weights, a lost answer.
+    Explanation
+    ===========
+
+    A broken connection alone does not prove a termination: resets, broken links, the loading of
+    weights and lost responses break connections too.
 
     Parameters
     ==========
 
-    registry : what discovery says of back ends.
+    registry : back ends as discovery reports them.
+    probe : checks the address of a back end.
     """
 
     def __init__(self, registry: BackEndRegistry, probe: AddressProbe) -> None:
         self._registry = registry
         self._probe = probe
-        self._looks: dict[str, asyncio.Task[bool]] = {}
-        """One look for all requests that broke together, by back end."""
+        self._running_probes: dict[str, asyncio.Task[bool]] = {}
+        """By back end id; requests that break at the same time share one probe."""
 
     async def has_ended(self, back_end: BackEnd) -> bool:
-        """Look, right after a request broke there."""
+        """Whether a back end has ended; called immediately after a request to it broke."""
         if back_end.has_ended:
             return True
         if not self._registry.is_staying(back_end):
             return False
         key = back_end.record.id
-        look = self._looks.get(key)
-        if look is None:
-            look = self._looks[key] = asyncio.create_task(self._look(back_end))
-            look.add_done_callback(lambda _: self._looks.pop(key, None))
-        return await asyncio.shield(look)
-
-    async def _look(self, back_end: BackEnd) -> bool:
+        running_probe = self._running_probes.get(key)
+        if running_probe is None:
+            running_probe = self._running_probes[key] = asyncio.create_task(
+                self._probe_address(back_end)
+            )
+            running_probe.add_done_callback(lambda _: self._running_probes.pop(key, None))
+        return await asyncio.shield(running_probe)
+
+    async def _probe_address(self, back_end: BackEnd) -> bool:
         if await self._probe.refuses_connections(back_end):
-            self._found(back_end, ADDRESS_REFUSES)
+            self._mark_ended(back_end, CONNECTION_REFUSED)
         return back_end.has_ended
 
     def found_another(self, back_end: BackEnd) -> None:
-        """Another back end answered at its address."""
+        """Record that another back end answered at the address of this one."""
         if not back_end.has_ended and self._registry.is_staying(back_end):
-            self._found(back_end, ADDRESS_IS_ANOTHERS)
+            self._mark_ended(back_end, OTHER_BACK_END_ANSWERED)
 
-    def _found(self, back_end: BackEnd, evidence: str) -> None:
+    def _mark_ended(self, back_end: BackEnd, evidence: str) -> None:
         back_end.ended()
         log.warning(
             "back_end_ended",
--- a/tests/serving/test_ended_back_ends.py
+++ b/tests/serving/test_ended_back_ends.py
@@ -10,14 +10,14 @@
 
 
 class ScriptedProbe:
-    """Says what tests let it say."""
+    """Returns a result that the test sets, and counts the calls."""
 
     def __init__(self, refuses):
         self.refuses = refuses
-        self.looks = 0
+        self.calls = 0
 
     async def refuses_connections(self, back_end):
-        self.looks += 1
+        self.calls += 1
         await asyncio.sleep(0)
         return self.refuses
 
@@ -31,19 +31,22 @@
 
 async def test_one_that_refuses_connections_has_ended_and_is_looked_at_once(registry):
     probe = ScriptedProbe(refuses=True)
-    ends = EndedBackEnds(registry, probe)
+    ended_back_ends = EndedBackEnds(registry, probe)
     back_end = registry.by_id("b1")
-    assert await asyncio.gather(*(ends.has_ended(back_end) for _ in range(12))) == [True] * 12
-    assert await ends.has_ended(back_end) and back_end.has_ended
-    assert probe.looks == 1
+    assert (
+        await asyncio.gather(*(ended_back_ends.has_ended(back_end) for _ in range(12)))
+        == [True] * 12
+    )
+    assert await ended_back_ends.has_ended(back_end) and back_end.has_ended
+    assert probe.calls == 1
 
 
 async def test_one_that_takes_connections_has_not_ended_and_is_looked_at_anew(registry):
     probe = ScriptedProbe(refuses=False)
-    ends = EndedBackEnds(registry, probe)
-    assert not await ends.has_ended(registry.by_id("b1"))
+    ended_back_ends = EndedBackEnds(registry, probe)
+    assert not await ended_back_ends.has_ended(registry.by_id("b1"))
     probe.refuses = True
-    assert await ends.has_ended(registry.by_id("b1"))
+    assert await ended_back_ends.has_ended(registry.by_id("b1"))
 
 
 @pytest.mark.parametrize("is_gone", [True, False])
@@ -53,23 +56,23 @@
         registry.remove("b1")
     else:
         registry.update(LEAVING)
-    ends = EndedBackEnds(registry, ScriptedProbe(refuses=True))
-    ends.found_another(back_end)
-    assert not await ends.has_ended(back_end) and not back_end.has_ended
+    ended_back_ends = EndedBackEnds(registry, ScriptedProbe(refuses=True))
+    ended_back_ends.found_another(back_end)
+    assert not await ended_back_ends.has_ended(back_end) and not back_end.has_ended
 
 
 async def test_another_one_at_its_address_shows_that_it_ended(registry):
-    ends = EndedBackEnds(registry, ScriptedProbe(refuses=False))
+    ended_back_ends = EndedBackEnds(registry, ScriptedProbe(refuses=False))
     back_end = registry.by_id("b1")
-    ends.found_another(back_end)
-    assert await ends.has_ended(back_end)
+    ended_back_ends.found_another(back_end)
+    assert await ended_back_ends.has_ended(back_end)
 
 
 async def test_a_request_that_is_given_up_meanwhile_stops_no_look_of_others(registry):
-    ends = EndedBackEnds(registry, ScriptedProbe(refuses=True))
+    ended_back_ends = EndedBackEnds(registry, ScriptedProbe(refuses=True))
     back_end = registry.by_id("b1")
-    first = asyncio.create_task(ends.has_ended(back_end))
-    second = asyncio.create_task(ends.has_ended(back_end))
+    first = asyncio.create_task(ended_back_ends.has_ended(back_end))
+    second = asyncio.create_task(ended_back_ends.has_ended(back_end))
     await asyncio.sleep(0)
     first.cancel()
     assert await second
