--- a/tests/serving/test_loop_lag.py
+++ b/tests/serving/test_loop_lag.py
@@ -8,22 +8,22 @@
 
 def test_one_late_timer_is_no_overload_and_many_are():
     lag = LoopLag()
-    lag.take(0.2)
+    lag.add_sample(0.2)
     assert not lag.is_behind()
     for _ in range(4):
-        lag.take(0.2)
+        lag.add_sample(0.2)
     assert lag.is_behind()
     for _ in range(6):
-        lag.take(0.0)
+        lag.add_sample(0.0)
     assert not lag.is_behind()
 
 
 async def test_a_loop_that_is_held_up_shows(monkeypatch):
     class LateClock(FakeClock):
-        """Each look comes half a second later than asked for."""
+        """Makes each timer appear to fire late by more than `OVERLOAD_LAG_S`."""
 
         def monotonic(self):
-            self.now += 0.25 + loop_lag.LOOK_S / 2
+            self.now += 0.25 + loop_lag.SAMPLE_INTERVAL_S / 2
             return self.now
 
     monkeypatch.setattr(loop_lag, "time", LateClock())
