--- a/src/crankseam/serving/settings_watch.py
+++ b/src/crankseam/serving/settings_watch.py
@@ -1,7 +1,7 @@
-"""Takes up changes of the settings file, whether or not a signal tells of them.
+"""Watches the settings file and applies changes with or without a signal.
 
-Owns the file's last content. Relies on `settings` to read it; only the log level changes in a
-process that runs, since addresses and identity hold for its life.
+Owns the last content of the file. Relies on `settings` to parse it. Only the log level can change
+in a running process: addresses and identity are fixed for its lifetime.
 """
 
 from __future__ import annotations
@@ -16,41 +16,41 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 3.0
-"""How often the file is looked at."""
+POLL_INTERVAL_S = 3.0
+"""Seconds between two reads of the file."""
 
 
 class SettingsWatch:
-    """Reads the settings file again when it has changed.
+    """Reloads the settings file when its content changes.
 
     Explanation
     ===========
 
-    Addresses and identity hold for a process's life; what may change while it runs is passed on.
-    A file that is missing or not valid changes nothing, and is said once.
+    Addresses and identity are fixed for the lifetime of a process; `on_change` applies what may
+    change while it runs. A missing or invalid file changes nothing and is logged once.
 
     Parameters
     ==========
 
-    file : the settings file.
-    on_change : called with the newly read settings.
+    file : path of the settings file.
+    on_change : called with the new settings after each successful reload.
     """
 
     def __init__(self, file: Path, on_change: Callable[[ProcessSettings], None]) -> None:
         self._file = file
         self._on_change = on_change
-        self._seen = self._read()
+        self._last_content = self._read_content()
 
-    def _read(self) -> bytes | None:
+    def _read_content(self) -> bytes | None:
         try:
             return self._file.read_bytes()
         except OSError:
-            # A missing file is a content of its own: `reload` says once what is wrong with it.
+            # None stands for an unreadable file, so that `reload` logs the error only once.
             return None
 
     def reload(self) -> None:
-        """Read the file now, changed or not; for the signal."""
-        self._seen = self._read()
+        """Read the file now, whether or not it has changed; also called by the signal handler."""
+        self._last_content = self._read_content()
         try:
             settings = load_settings(self._file)
         except InvalidConfiguration as group:
@@ -60,8 +60,8 @@
         log.info("reloaded")
 
     async def run(self) -> None:
-        """Look at the file until cancelled."""
+        """Poll the file until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self._read() != self._seen:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if self._read_content() != self._last_content:
                 self.reload()
