--- a/src/crankseam/serving/supervisor.py
+++ b/src/crankseam/serving/supervisor.py
@@ -1,6 +1,7 @@
-"""Background tasks that are started again, with a back-off and a log line, when they fail.
+"""Runs background tasks, and restarts them with exponential back-off when they fail.
 
 Owns every task of a process that outlives a request. Relies on the tasks to end when cancelled.
+Every failure is logged.
 """
 
 from __future__ import annotations
@@ -14,33 +15,36 @@
 log = logging.getLogger(__name__)
 
 RESTART_BASE_S = 0.2
-"""Longest pause, in seconds, before a task that failed once is started again; it doubles with each
-failure. Origin not recorded."""
+"""Longest pause, in seconds, before a task is restarted after its first failure. The limit doubles
+with each further failure."""
 RESTART_CAP_S = 2.0
-"""Seconds that the pause does not exceed. Origin not recorded."""
+"""Upper limit of the pause, in seconds."""
 
 
 class Supervisor:
-    """Owns this process's long-running tasks. None of their failures ends the process."""
+    """Owns the long-running tasks of this process. A failed task never ends the process."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def keep(self, work: Callable[[], Awaitable[None]], name: str) -> None:
-        """Run `work` for ever: each time it fails, it is called again after a pause."""
-        self._own(asyncio.create_task(self._run_again(work, name), name=name))
+        """Run `work`, and call it again after a pause each time that it fails.
+
+        `work` is not called again once it returns without an error.
+        """
+        self._track(asyncio.create_task(self._run_with_restarts(work, name), name=name))
 
     def once(self, work: Callable[[], Awaitable[None]], name: str) -> asyncio.Task[None]:
-        """Call `work` and run it to its end; a failure is logged."""
+        """Run `work` once; a failure is logged and not retried."""
         task = asyncio.create_task(self._run_once(work, name), name=name)
-        self._own(task)
+        self._track(task)
         return task
 
-    def _own(self, task: asyncio.Task[None]) -> None:
+    def _track(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run_again(self, work: Callable[[], Awaitable[None]], name: str) -> None:
+    async def _run_with_restarts(self, work: Callable[[], Awaitable[None]], name: str) -> None:
         backoff = Backoff(RESTART_BASE_S, RESTART_CAP_S)
         while True:
             try:
@@ -57,7 +61,7 @@
             log.exception("task_failed", extra={"task": name})
 
     async def stop(self) -> None:
-        """Cancel all tasks and wait until they have ended."""
+        """Cancel all tasks, and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
