--- a/src/crankseam/serving/logs.py
+++ b/src/crankseam/serving/logs.py
@@ -1,7 +1,8 @@
-"""Structured logs of a serving process: JSON lines on standard output, bounded, never blocking.
+"""Structured logging of a serving process: JSON lines on standard output.
 
-Owns standard output and the buffer before it. Relies on `log_events` for what may be written: each
-record's message is the name of an event, its extra fields are those of the catalogue.
+Owns standard output and a bounded buffer in front of it; writing never blocks. Relies on
+`log_events`, the catalogue of permitted records: the message of a record is the name of an event,
+and its extra fields are those that the catalogue lists for the event.
 """
 
 from __future__ import annotations
@@ -16,15 +17,27 @@
 import msgspec
 
 MAX_BUFFERED_LINES = 5000
-"""Lines kept for a reader that does not read; more are dropped and counted. Origin not recorded."""
+"""Lines buffered while the reader does not read; further lines are dropped and counted."""
 _STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
-"""What the logging library itself sets on a record; all else is a field of the event."""
+"""Attributes that the logging library sets on a record; all others are fields of the event."""
 
 
 class JsonLineHandler(logging.Handler):
-    """Writes records to a descriptor without ever waiting for its reader.
+    """Writes records to a file descriptor without ever waiting for its reader.
 
-    Lines that do not fit the buffer are dropped, counted, and the count is written later.
+    Lines that do not fit in the buffer are dropped. The number of dropped lines is written as the
+    event `log_lines_dropped` once the reader reads again.
+
+    Parameters
+    ==========
+
+    node : name of the process, written with each line.
+    descriptor : file descriptor to write to.
+
+    Attributes
+    ==========
+
+    dropped_total : number of lines dropped since the handler was created.
     """
 
     def __init__(self, node: str, descriptor: int) -> None:
@@ -35,10 +48,10 @@
         self._poll.register(descriptor, select.POLLOUT)
         self._lines: deque[bytes] = deque()
         self._dropped = 0
-        self.dropped_in_all = 0
+        self.dropped_total = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue one record and write what the reader takes now."""
+        """Buffer one record, and write as many lines as the reader accepts now."""
         try:
             line = self._encode(record)
         except (TypeError, ValueError):
@@ -52,7 +65,7 @@
 
     def _count_dropped(self) -> None:
         self._dropped += 1
-        self.dropped_in_all += 1
+        self.dropped_total += 1
 
     def _encode(self, record: logging.LogRecord) -> bytes:
         fields = {
@@ -74,7 +87,7 @@
             try:
                 os.write(self._descriptor, line)
             except OSError:
-                # The reader is gone or took nothing: the line stays and is tried with the next one.
+                # The reader is gone or accepts nothing: the line is retried with the next record.
                 return
             self._lines.popleft()
             if self._dropped:
@@ -88,22 +101,22 @@
 
 
 def configure_logging(node: str, level: str) -> None:
-    """Send every record to standard output as one JSON object, marked with the node's name."""
+    """Write every log record to standard output as one JSON object with the name of the node."""
     root = logging.getLogger()
     root.handlers = [JsonLineHandler(node, sys.stdout.fileno())]
     set_log_level(level)
-    # Errors of the HTTP library about callers' malformed requests are no events of this process.
+    # The HTTP library logs malformed requests of callers as errors; they are not events here.
     logging.getLogger("aiohttp").setLevel(logging.CRITICAL)
     logging.getLogger("asyncio").setLevel(logging.ERROR)
     logging.getLogger("aiohttp.access").setLevel(logging.WARNING)
 
 
 def dropped_log_lines() -> int:
-    """How many lines this process has dropped since its start."""
+    """Return the number of log lines that this process has dropped since it started."""
     handlers = logging.getLogger().handlers
-    return sum(one.dropped_in_all for one in handlers if isinstance(one, JsonLineHandler))
+    return sum(one.dropped_total for one in handlers if isinstance(one, JsonLineHandler))
 
 
 def set_log_level(level: str) -> None:
-    """Write lines of this level and above from now on."""
+    """Set the lowest level of the records that are written."""
     logging.getLogger().setLevel(level.upper())
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -87,7 +87,7 @@
     assert (line["event"], line["job"], line["results"], line["node"]) == ("job_done", "j", 3, "n")
     for _ in range(MAX_BUFFERED_LINES + 3000):
         logger.info("job_done", extra={"job": "x" * 50, "results": 0})
-    assert handler.dropped_in_all > 0
+    assert handler.dropped_total > 0
     drained = b""
     while b"log_lines_dropped" not in drained:
         drained += os.read(reader, 65536)
