--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -2,7 +2,7 @@
 
 Owns the registry of back ends by id, as discovery fills it, and the time for which a back end is
 avoided after it failed. Relies on the reports that back ends send with their answers. Which of them
-gets a request is decided in `load_balancing` (requests) and `jobs.places` (items).
+gets a request is decided in `choice` (requests) and `jobs.places` (items).
 """
 
 from __future__ import annotations
--- a/src/crankseam/serving/load_balancing.py
+++ b/src/crankseam/serving/choice.py
@@ -11,7 +11,7 @@
 Purpose: Keeps callers away from failing back ends, further work away from busy back ends, and
 traffic off the links between zones.
 Logged as: `attempts` of `request_answered` and `request_given_up`.
-Tested by: tests/serving/test_load_balancing.py.
+Tested by: tests/serving/test_choice.py.
 """
 
 from __future__ import annotations
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -2,7 +2,7 @@
 
 Owns the attempts of a request: their tasks, their end at the deadline, and what each back end is
 told of them (slots in use, failures). The decisions are elsewhere: which back end in
-`load_balancing`, how often and when to give up in `retry`, whether it is held back in `quarantine`.
+`choice`, how often and when to give up in `retry`, whether it is held back in `quarantine`.
 Relies on the registry for what discovery says, and on a `BackEndClient` for the wire.
 """
 
@@ -21,7 +21,7 @@
 from crankseam.quarantine.trial import Send, Trial
 from crankseam.serving import retry
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
-from crankseam.serving.load_balancing import choose_back_end
+from crankseam.serving.choice import choose_back_end
 from crankseam.serving.messages import (
     Answer,
     AttemptBroken,
--- a/tests/serving/test_load_balancing.py
+++ b/tests/serving/test_choice.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from crankseam.serving.back_ends import BackEnd, BackEndRecord, BackEndRegistry
-from crankseam.serving.load_balancing import choose_back_end
+from crankseam.serving.choice import choose_back_end
 from crankseam.serving.routes import (
     Configuration,
     RequestKind,
