--- a/tests/serving/test_settings_watch.py
+++ b/tests/serving/test_settings_watch.py
@@ -15,17 +15,17 @@
     caplog.set_level(logging.INFO)
     file = tmp_path / "settings.toml"
     file.write_text(GOOD.format("info"))
-    received = []
-    watching = asyncio.create_task(SettingsWatch(file, received.append).run())
+    taken = []
+    watching = asyncio.create_task(SettingsWatch(file, taken.append).run())
     try:
         await asyncio.sleep(0.05)
-        assert not received, "nothing has changed"
+        assert not taken, "nothing has changed"
         file.write_text(GOOD.format("error"))
-        await eventually(lambda: received and received[-1].log_level == "error")
+        await eventually(lambda: taken and taken[-1].log_level == "error")
         file.write_text("name = 3\n")
         await eventually(lambda: "reload_refused" in caplog.messages)
-        assert len(received) == caplog.messages.count("reloaded")
+        assert len(taken) == caplog.messages.count("reloaded")
         file.write_text(GOOD.format("warning"))
-        await eventually(lambda: received[-1].log_level == "warning")
+        await eventually(lambda: taken[-1].log_level == "warning")
     finally:
         watching.cancel()
