--- a/src/crankseam/serving/settings.py
+++ b/src/crankseam/serving/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one process of a deployment, in the product's own TOML form.
+"""Settings of one process of a deployment, read from a TOML file.
 
-Owns the form and its defaults; the names of fields are the file's. Times are in the unit that a
-field's name says, and are turned into seconds where they are read.
+Owns the schema of the file and its defaults; fields have the same names as in the file. Times are
+in the unit given by the name of the field, and are converted to seconds by the code that uses them.
 """
 
 from __future__ import annotations
@@ -18,62 +18,68 @@
 
 
 class Listeners(msgspec.Struct, frozen=True):
-    """Addresses as `ip:port`; empty where this process does not serve them."""
+    """Addresses that this process listens on, as `ip:port`; empty where it does not listen."""
 
     callers: str = ""
-    """Where callers' connections arrive."""
+    """Accepts the connections of callers."""
     readiness: str = ""
-    """Where the entry asks whether this process takes new connections."""
+    """Answers the load balancer in front, which asks whether this process accepts connections."""
     metrics: str = ""
     peers: str = ""
-    """Where other processes of the deployment reach this one."""
+    """Accepts the connections of other processes of the deployment."""
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What the deployment allows; seconds unless the name says otherwise."""
+    """Time limits that the deployment sets; in seconds unless the name says otherwise."""
 
     drain_milliseconds: float = 2000.0
-    """How long after a back end's leaving was acknowledged a request may still reach it. Read by
-    nothing, since what discovery tells is acted on at once; the file of the deployment has it."""
+    """Time after a back end's departure is acknowledged during which requests may still reach it.
+    Present in the deployment's file but unused: changes in discovery are acted on immediately."""
     grace_seconds: float = 8.0
-    """Time from the signal to stop until the process is killed."""
+    """Time from the stop signal until the process is killed."""
     contact_milliseconds: float = 3000.0
-    """A process this long after the last trouble must be up to date."""
+    """Time after the end of a disturbance within which a process must be up to date again."""
     configuration_milliseconds: float = 2000.0
-    """A change must be in force everywhere this long after the store acknowledged it."""
+    """Time after the store acknowledges a configuration change within which every process must
+    apply it."""
     order_lease_milliseconds: float = 3000.0
-    """Two holders may not give orders to one sampler within this time."""
+    """Period within which two holders of a duty must not both give orders to the same sampler."""
     job_status_seconds: float = 120.0
-    """How long a job can be read after it was submitted."""
+    """Time after its submission for which a job can be read."""
     strict_revocation: bool = False
-    """Whether a process that can't confirm that an API key still stands refuses its requests."""
+    """Whether a process refuses requests with an API key while it cannot confirm that the key has
+    not been revoked."""
     revocation_milliseconds: float = 5000.0
-    """The longest age of such a confirmation."""
+    """Greatest accepted age of such a confirmation."""
     usage_window_seconds: float = 5.0
-    """Length of the windows in which usage is counted."""
+    """Length of the time windows in which usage is counted."""
     usage_late_seconds: float = 10.0
-    """A window's report is due so long after the window ended."""
+    """Time after the end of a window by which its usage report is due."""
 
 
 class DutyCalls(msgspec.Struct, frozen=True):
-    """The platform's interface for what one process at a time does; empty where it has none."""
+    """The platform's interface for duties, which one process at a time performs.
+
+    `address` is empty if the platform has no such interface.
+    """
 
     address: str = ""
     usage: bool = False
-    """Whether usage is to be reported there."""
+    """Whether usage reports are sent to this address."""
 
 
 class ProcessSettings(msgspec.Struct, frozen=True):
-    """Everything a process learns before it reaches the coordination store."""
+    """Everything that a process must know before it can connect to the coordination store."""
 
     name: str
     ip: str
     zone: str
     store_address: str
-    """`ip:port` of the coordination store."""
+    """Address of the coordination store, as `ip:port`."""
     role: str = ""
     link_megabits: float = 1.0
-    """Megabits a second of this machine's link; only its size beside others' counts."""
+    """Bandwidth of this machine's network link, in megabits per second. Only the ratio to the
+    bandwidths of other machines matters."""
     data_folder: str = ""
     listen: Listeners = Listeners()
     bounds: Bounds = Bounds()
@@ -86,16 +92,23 @@
 
 
 def parse_settings(text: str, source: str) -> ProcessSettings:
-    """Check one settings file; unknown fields are skipped.
+    """Parse and validate the text of a settings file; unknown fields are ignored.
+
+    Parameters
+    ==========
+
+    source : name of the file, for error messages.
+
+    Raises
+    ======
 
-    Raises:
-        InvalidConfiguration: with the file, the line and the field of what is wrong.
+    InvalidConfiguration : names the file, the line and the field of the error.
     """
     try:
         content = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        found = re.search(r"line (\d+)", str(error))
-        line = int(found.group(1)) if found else 0
+        match = re.search(r"line (\d+)", str(error))
+        line = int(match.group(1)) if match else 0
         raise _invalid(FieldError(source, line, "toml", f"well-formed TOML ({error})")) from error
     try:
         settings = msgspec.convert(content, ProcessSettings, strict=True)
@@ -106,7 +119,7 @@
 
 
 def load_settings(file: Path) -> ProcessSettings:
-    """Read and check a settings file; raises InvalidConfiguration."""
+    """Read, parse and validate a settings file; raises InvalidConfiguration."""
     try:
         text = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -130,8 +143,8 @@
 
 
 def _field_error(text: str, source: str, message: str) -> FieldError:
-    found = _FIELD_PATH.search(message)
-    path = found.group(1) if found else ""
+    match = _FIELD_PATH.search(message)
+    path = match.group(1) if match else ""
     missing = re.search(r"missing required field `(\w+)`", message)
     if missing:
         path = f"{path}.{missing.group(1)}".strip(".")
@@ -144,6 +157,6 @@
 
 
 def as_plain(settings: ProcessSettings) -> dict[str, Any]:
-    """The settings as plain data, for the log line at start."""
+    """Return the settings as built-in types, for the log line at start-up."""
     plain: dict[str, Any] = msgspec.to_builtins(settings)
     return plain
