--- a/src/crankseam/serving/messages.py
+++ b/src/crankseam/serving/messages.py
@@ -1,8 +1,11 @@
-"""What the forwarding of a request takes and gives, free of any wire.
+"""Inputs and results of request forwarding, independent of any wire protocol.
 
-The adapter to a platform makes an `InboundRequest`, sends it by its `BackEndClient`, and turns the
-`Answer` into its own form. An attempt that gave no answer is one of two errors: `AttemptNotRun`
-(it did not run and never will) or `AttemptBroken` (it may have run).
+The platform adapter creates an `InboundRequest`, implements the `BackEndClient` that sends it, and
+converts the `Answer` to its own format. An attempt without an answer raises one of two errors:
+`AttemptNotRun` (the back end did not run the request and never will) or `AttemptBroken` (the back
+end may have run the request).
+
+Times are in seconds of the suspend-aware clock, `clocks.promised_s`.
 """
 
 from __future__ import annotations
@@ -15,21 +18,21 @@
 from crankseam.serving.back_ends import BackEnd
 
 Headers = tuple[tuple[str, str], ...]
-"""Names and values in the order in which they came; a name may stand there more than once."""
+"""Names and values in the order received; a name may occur more than once."""
 
 
 @dataclass(frozen=True, slots=True)
 class InboundRequest:
-    """One attempt of a caller.
+    """A request as received from a caller; a caller's retry is a new request.
 
     Attributes
     ==========
 
-    target : path and query as they stood in the request.
-    headers : all but those of the connection and those that the adapter sets anew.
-    received_at : time of promises, in seconds, at which it came.
-    deadline : time of promises, in seconds, until which the caller waits.
-    tenant : name of the tenant on whose behalf it runs; empty where there is none.
+    target : path and query string exactly as received.
+    headers : all headers except hop-by-hop headers and those that the adapter sets itself.
+    received_at : time at which the request arrived.
+    deadline : time until which the caller waits for the answer.
+    tenant : name of the tenant that the request belongs to; empty if there is none.
     """
 
     id: str
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer of a back end."""
+    """A complete answer of a back end."""
 
     status: int
     headers: Headers
@@ -55,9 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamingAnswer:
-    """The head of an answer whose body is passed on as it comes.
+    """Status and headers of an answer whose body is forwarded while it is received.
 
-    `chunks` raises `AttemptBroken` when the body ends before it is whole.
+    `chunks` yields the body, and raises `AttemptBroken` if the body ends before it is complete.
     """
 
     status: int
@@ -72,16 +75,17 @@
     reason: str
     wrong_instance: bool = False
     had_room: bool = False
-    """It rejected the request for another reason than load: a version is being loaded."""
+    """Whether the back end reported free slots: the reason for the rejection was then not its load
+    but, for instance, a weight version that it is loading."""
 
 
 @dataclass
 class AttemptBroken(CrankseamError):
-    """The attempt gave no whole answer; the request may have run."""
+    """The attempt gave no complete answer; the request may have run."""
 
     reason: str
     lost_connection: bool = False
-    """Whether its connection broke: the back end may have ended."""
+    """Whether the connection broke, in which case the back end may have terminated."""
 
 
 class BackEndClient(Protocol):
@@ -90,13 +94,13 @@
     async def send(
         self, back_end: BackEnd, request: InboundRequest, deadline: float, relay: bool
     ) -> Answer | StreamingAnswer:
-        """Send one attempt.
+        """Send a request once.
 
         Parameters
         ==========
 
-        deadline : time of promises, in seconds, at which the back end is to stop its work.
-        relay : whether an answer of events is wanted as a `StreamingAnswer`.
+        deadline : time at which the back end should stop working on the request.
+        relay : whether an event stream is returned as a `StreamingAnswer` instead of an `Answer`.
 
         Raises
         ======
