--- a/src/crankseam/serving/__init__.py
+++ b/src/crankseam/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serving of plain requests: routes, back ends, the choice between them, forwarding, readiness."""
+"""Serving of requests: routing, selection of back ends, forwarding, retries, logs and settings."""
