--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from crankseam.serving.cold_starts import DEFAULT_COLD_PER_S, ColdStart
-from crankseam.serving.engine_memory import OTHERS_TOKENS, EngineMemory, RunSize
+from crankseam.serving.engine_memory import REMOTE_RUN_TOKENS, EngineMemory, RunSize
 
 log = logging.getLogger(__name__)
 
@@ -97,7 +97,7 @@
         taken = sum(run.expected_tokens(memory) for run in self.runs.values())
         if not taken and not others:
             return True
-        expected = taken + others * OTHERS_TOKENS + size.expected_tokens(memory)
+        expected = taken + others * REMOTE_RUN_TOKENS + size.expected_tokens(memory)
         return expected <= memory.tokens
 
     def report_load(self, running: int, waiting: int) -> None:
--- a/src/crankseam/serving/engine_memory.py
+++ b/src/crankseam/serving/engine_memory.py
@@ -1,21 +1,23 @@
-"""What runs take of a sampler's memory, as far as this process knows.
+"""Estimates how much of a sampler's memory its runs occupy.
 
-A sampler that runs out of memory puts its newest run back and reads its prompt and text anew later:
-the run stands still meanwhile. So a run that is moved there loses what the move was for.
+A run is the generation of one item. A sampler that runs out of memory preempts its newest run, and
+recomputes the prompt and the generated text of that run later. The run makes no progress in the
+meantime, so moving it to a sampler without enough memory gains nothing.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SOON_EVENTS = 10
-"""A run that began lately is counted with so many events more: half a second of its growth.
-Origin not recorded."""
-AGAIN_FACTOR = 2.0
-"""Lengths have a long tail: a run that made many events is expected to make as many again.
-Origin not recorded."""
-OTHERS_TOKENS = 2000
-"""What a run of another process is counted as: a prompt and the mean text of the users' sheets."""
+MIN_FURTHER_EVENTS = 10
+"""Minimum number of events that a run is expected to produce from now on, which matters for a run
+that has just begun. It corresponds to half a second of generation."""
+LENGTH_FACTOR = 2.0
+"""Ratio of the expected number of events to those produced so far. Output lengths are long-tailed,
+so a run is expected to produce as many events again as it already has."""
+REMOTE_RUN_TOKENS = 2000
+"""Assumed size, in tokens, of a run that another process has at the sampler: a prompt and a text of
+mean length according to the users' workload descriptions."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,8 +27,8 @@
     Attributes
     ==========
 
-    tokens : what fits, prompts and texts together.
-    event_tokens : what one event adds.
+    tokens : capacity, in tokens of prompts and generated texts together.
+    event_tokens : tokens that one event of a run adds.
     """
 
     tokens: int
@@ -35,22 +37,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSize:
-    """How large a run is, and how large it may become.
+    """Current and greatest possible size of a run.
 
     Attributes
     ==========
 
-    prompt : tokens of its prompt.
-    events : made so far.
-    most : tokens of prompt and text at the most; 0 if that is not told.
+    prompt : number of tokens of the prompt.
+    events : number of events produced so far.
+    max_tokens : upper limit of the tokens of prompt and text together; 0 if unknown.
     """
 
     prompt: int
     events: int
-    most: int = 0
+    max_tokens: int = 0
 
     def expected_tokens(self, memory: EngineMemory) -> int:
-        """What it is likely to take before it ends.
+        """Return the number of tokens that the run is expected to occupy when it ends.
 
         Examples
         ========
@@ -60,10 +62,10 @@
         >>> RunSize(276, 0).expected_tokens(EngineMemory(29534, 75))
         1026
         """
-        events = max(AGAIN_FACTOR * self.events, self.events + SOON_EVENTS)
+        events = max(LENGTH_FACTOR * self.events, self.events + MIN_FURTHER_EVENTS)
         expected = self.prompt + int(events * memory.event_tokens)
-        return min(expected, self.most) if self.most else expected
+        return min(expected, self.max_tokens) if self.max_tokens else expected
 
 
 NOTHING = RunSize(0, 0)
-"""The size of what needs no memory."""
+"""Size of a run that needs no memory."""
