--- a/src/crankseam/serving/paces.py
+++ b/src/crankseam/serving/paces.py
@@ -1,8 +1,10 @@
-"""How fast each sampler's streams come, as this process and others saw it.
+"""Tracks the pace of each sampler, as observed by this process and by others.
 
-Owns what this process observed and what other processes told. Relies on runs to tell of each event,
-and on `jobs.pace_sharing` for the exchange. Paces are seconds between two events of one stream.
-Held by: tests/serving/test_paces.py.
+The pace of a sampler is the time, in seconds, between two events of one of its streams.
+
+Owns the observations of this process and the tables received from other processes. Relies on runs
+to report each event, and on `jobs.pace_sharing` to exchange the tables.
+Tested by: tests/serving/test_paces.py.
 """
 
 from __future__ import annotations
@@ -16,126 +18,146 @@
 from crankseam.serving.back_ends import BackEnd
 
 STEADY_WINDOW_S = 2.0
-"""Window of a sampler's own pace, which seldom changes: smoothed by events, a burst of prompts at a
-full sampler passed for a slow one, and 381 of 2,276 runs were moved. The figure is a choice."""
+"""Smoothing window, in seconds, of a sampler's steady pace, which seldom changes. The window is in
+time rather than in events: with smoothing by events, a burst of prompts at a full sampler made it
+look slow, and 381 of 2,276 runs were moved away."""
 RECENT_WINDOW_S = 0.3
-"""Window of the pace of the moment: a sampler that turns slow shows within a few events. A
-choice."""
-BELIEVED_S = 15.0
-"""An observation is believed for so long: jobs of one model come to the same process each few
-seconds. Origin not recorded."""
-FASTEST_S = 0.005
-"""Events that come faster than this are never slow: between them only noise is left. Origin not
-recorded."""
-PACE_CLASS = 0.15
-"""Samplers whose paces differ by less than this share are taken for equally fast. Set with the
-choice of the fastest samplers for long items; the figure was not measured by itself."""
+"""Smoothing window, in seconds, of a sampler's recent pace. It is short enough that a sampler that
+becomes slow is detected within a few events."""
+OBSERVATION_MAX_AGE_S = 15.0
+"""Seconds after which an observation is discarded. It need not be longer, since jobs of one model
+reach the same process every few seconds."""
+MIN_INTERVAL_S = 0.005
+"""Lower limit of recorded intervals, in seconds: differences between shorter ones are noise."""
+PACE_CLASS_WIDTH = 0.15
+"""Relative width of a pace class: samplers whose paces differ by less than this fraction are
+treated as equally fast when the fastest samplers are selected for long items."""
 SLOW_FACTOR = 1.8
-"""A sampler whose events take this many times the others' median is a slow one. Origin not
-recorded."""
-FEWEST_OTHERS = 2
-"""So many others must be known before a sampler can be told to be slow. Origin not recorded."""
+"""A sampler is slow if its recent pace exceeds the median steady pace by more than this factor."""
+MIN_OTHER_SAMPLERS = 2
+"""Number of other samplers whose paces must be known before a sampler can be classified as slow."""
 
 
 @dataclass(slots=True)
 class _Observation:
-    """Seconds between two events of a stream, smoothed over two windows."""
+    """Interval between two events of a stream, in seconds, smoothed over two windows."""
 
     steady_s: float
     recent_s: float
     at: float
 
-    def take(self, interval_s: float, now: float) -> None:
-        """Smooth by the time that an event stands for: a full sampler has eight at once, and an
-        event after a rest says nothing of the rest."""
-        passed_s = min(now - self.at, interval_s)
-        self.steady_s += _weight(passed_s, STEADY_WINDOW_S) * (interval_s - self.steady_s)
-        self.recent_s += _weight(passed_s, RECENT_WINDOW_S) * (interval_s - self.recent_s)
+    def add_interval(self, interval_s: float, now: float) -> None:
+        """Update both averages, with a weight that depends on the time since the last update.
+
+        Events of concurrent streams arrive almost simultaneously, eight at a full sampler, and
+        count as one together. The elapsed time is limited to the interval, so that an idle period
+        before the event does not increase its weight.
+        """
+        elapsed_s = min(now - self.at, interval_s)
+        self.steady_s += _smoothing_weight(elapsed_s, STEADY_WINDOW_S) * (
+            interval_s - self.steady_s
+        )
+        self.recent_s += _smoothing_weight(elapsed_s, RECENT_WINDOW_S) * (
+            interval_s - self.recent_s
+        )
         self.at = now
 
 
-def _weight(passed_s: float, window_s: float) -> float:
-    return 1.0 - math.exp(-passed_s / window_s)
+def _smoothing_weight(elapsed_s: float, window_s: float) -> float:
+    return 1.0 - math.exp(-elapsed_s / window_s)
 
 
 class SamplerPaces:
-    """Seconds between events by sampler; own observations go before those of others."""
+    """Paces by sampler; observations of this process take precedence over those of others."""
 
     def __init__(self) -> None:
-        self._own: dict[str, _Observation] = {}
-        self._told: dict[str, dict[str, float]] = {}
-        """What other processes told, by process."""
+        self._own_observations: dict[str, _Observation] = {}
+        self._peer_tables: dict[str, dict[str, float]] = {}
+        """Tables of paces received from other processes, by process."""
 
     def seen(self, back_end: BackEnd, interval_s: float) -> None:
-        """Take the time between two events of a run."""
-        interval_s = max(interval_s, FASTEST_S)
+        """Record the interval between two events of a run at a sampler."""
+        interval_s = max(interval_s, MIN_INTERVAL_S)
         now = time.monotonic()
-        known = self._own.get(back_end.record.id)
-        if known is None or now - known.at > BELIEVED_S:
-            self._own[back_end.record.id] = _Observation(interval_s, interval_s, now)
+        observation = self._own_observations.get(back_end.record.id)
+        if observation is None or now - observation.at > OBSERVATION_MAX_AGE_S:
+            self._own_observations[back_end.record.id] = _Observation(interval_s, interval_s, now)
         else:
-            known.take(interval_s, now)
+            observation.add_interval(interval_s, now)
 
     def told(self, process: str, table: dict[str, float]) -> None:
-        """Take another process's table; an empty one takes back what it told before."""
-        self._told[process] = table
+        """Store the table of another process; an empty table deletes the previous one."""
+        self._peer_tables[process] = table
         if not table:
-            del self._told[process]
+            del self._peer_tables[process]
 
     def own_table(self) -> dict[str, float]:
-        """The steady paces that this process saw itself and still believes; forgets the others."""
+        """Return the steady paces observed by this process, and discard expired observations."""
         now = time.monotonic()
-        self._own = {key: one for key, one in self._own.items() if now - one.at <= BELIEVED_S}
-        return {key: one.steady_s for key, one in self._own.items()}
+        self._own_observations = {
+            key: observation
+            for key, observation in self._own_observations.items()
+            if now - observation.at <= OBSERVATION_MAX_AGE_S
+        }
+        return {key: observation.steady_s for key, observation in self._own_observations.items()}
 
-    def _observed(self, back_end: BackEnd) -> _Observation | None:
-        known = self._own.get(back_end.record.id)
-        if known is None or time.monotonic() - known.at > BELIEVED_S:
+    def _fresh_observation(self, back_end: BackEnd) -> _Observation | None:
+        observation = self._own_observations.get(back_end.record.id)
+        if observation is None or time.monotonic() - observation.at > OBSERVATION_MAX_AGE_S:
             return None
-        return known
+        return observation
 
     def steady_s(self, back_end: BackEnd) -> float | None:
-        """The sampler's own pace; None while nobody has told it."""
-        observed = self._observed(back_end)
-        if observed is not None:
-            return observed.steady_s
-        for table in self._told.values():
+        """Return the steady pace of a sampler; None if no process has observed it."""
+        observation = self._fresh_observation(back_end)
+        if observation is not None:
+            return observation.steady_s
+        for table in self._peer_tables.values():
             if back_end.record.id in table:
                 return table[back_end.record.id]
         return None
 
     def recent_s(self, back_end: BackEnd) -> float | None:
-        """The pace of the last moments in which this process had streams there."""
-        observed = self._observed(back_end)
-        return observed.recent_s if observed is not None else None
+        """Return the recent pace of a sampler; None without a fresh observation of this process."""
+        observation = self._fresh_observation(back_end)
+        return observation.recent_s if observation is not None else None
 
     def slow_ids(self, service: Sequence[BackEnd]) -> set[str]:
-        """Samplers of a service whose events take much longer, now, than those of the others."""
-        steady = {one.record.id: pace for one in service if (pace := self.steady_s(one))}
-        if len(steady) <= FEWEST_OTHERS:
+        """Return the ids of the samplers of a service that are slow now; see `SLOW_FACTOR`."""
+        steady = {
+            sampler.record.id: pace for sampler in service if (pace := self.steady_s(sampler))
+        }
+        if len(steady) <= MIN_OTHER_SAMPLERS:
             return set()
         limit_s = SLOW_FACTOR * statistics.median(steady.values())
         return {
-            one.record.id
-            for one in service
-            if (recent_s := self.recent_s(one)) is not None and recent_s > limit_s
+            sampler.record.id
+            for sampler in service
+            if (recent_s := self.recent_s(sampler)) is not None and recent_s > limit_s
         }
 
     def fastest_first(self, service: Sequence[BackEnd]) -> list[tuple[float, BackEnd]]:
-        """Samplers whose paces are known and that are not slow now, with their steady paces."""
+        """Return steady paces and samplers, fastest first, without slow and unknown samplers."""
         slow = self.slow_ids(service)
         known = [
-            (pace_s, one)
-            for one in service
-            if one.record.id not in slow and (pace_s := self.steady_s(one)) is not None
+            (pace_s, sampler)
+            for sampler in service
+            if sampler.record.id not in slow and (pace_s := self.steady_s(sampler)) is not None
         ]
         return sorted(known, key=lambda pair: pair[0])
 
     def classes(self, back_ends: Iterable[BackEnd]) -> dict[str, int]:
-        """By how many classes each is slower than the fastest; unknown ones are in the middle."""
-        ids = [one.record.id for one in back_ends]
-        paces = {one.record.id: pace for one in back_ends if (pace := self.steady_s(one))}
+        """Return by how many pace classes each back end is slower than the fastest one.
+
+        A back end whose pace is unknown is assumed to have the median pace.
+        """
+        ids = [back_end.record.id for back_end in back_ends]
+        paces = {
+            back_end.record.id: pace for back_end in back_ends if (pace := self.steady_s(back_end))
+        }
         if not paces:
             return dict.fromkeys(ids, 0)
-        fastest, middle = min(paces.values()), statistics.median(paces.values())
-        return {key: int((paces.get(key, middle) / fastest - 1.0) / PACE_CLASS) for key in ids}
+        fastest, median = min(paces.values()), statistics.median(paces.values())
+        return {
+            key: int((paces.get(key, median) / fastest - 1.0) / PACE_CLASS_WIDTH) for key in ids
+        }
--- a/tests/serving/test_paces.py
+++ b/tests/serving/test_paces.py
@@ -2,7 +2,7 @@
 
 from crankseam.serving import paces as module
 from crankseam.serving.back_ends import BackEnd, BackEndRecord
-from crankseam.serving.paces import BELIEVED_S, SamplerPaces
+from crankseam.serving.paces import OBSERVATION_MAX_AGE_S, SamplerPaces
 from tests.support.clock import FakeClock
 
 
@@ -12,15 +12,15 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """The monotonic time that paces see; moved by tests."""
+    """Replaces the monotonic clock of the module `paces`; tests advance it."""
 
     made = FakeClock(100.0)
     monkeypatch.setattr(module, "time", made)
     return made
 
 
-def play(paces, clock, sampler, interval_s, for_s):
-    """Events of one stream for some seconds."""
+def observe_stream(paces, clock, sampler, interval_s, for_s):
+    """Record the events of one stream for `for_s` seconds."""
     end = clock.now + for_s
     while clock.now < end:
         clock.now += interval_s
@@ -31,15 +31,15 @@
     paces = SamplerPaces()
     fast, other = make_samplers(2)
     for one in (fast, other):
-        play(paces, clock, one, 0.05, 3.0)
-    play(paces, clock, fast, 0.08, 0.16)
+        observe_stream(paces, clock, one, 0.05, 3.0)
+    observe_stream(paces, clock, fast, 0.08, 0.16)
     assert paces.classes([fast, other]) == {"s0": 0, "s1": 0}
 
 
 def test_many_events_at_one_moment_count_as_one(clock):
     paces = SamplerPaces()
     (sampler,) = make_samplers(1)
-    play(paces, clock, sampler, 0.05, 3.0)
+    observe_stream(paces, clock, sampler, 0.05, 3.0)
     for _ in range(100):
         paces.seen(sampler, 0.5)
     assert paces.steady_s(sampler) == pytest.approx(0.05)
@@ -49,8 +49,8 @@
     paces = SamplerPaces()
     samplers = make_samplers(4)
     for one in samplers:
-        play(paces, clock, one, 0.05, 2.0)
-    play(paces, clock, samplers[0], 0.2, 0.8)
+        observe_stream(paces, clock, one, 0.05, 2.0)
+    observe_stream(paces, clock, samplers[0], 0.2, 0.8)
     assert paces.slow_ids(samplers) == {samplers[0].record.id}
 
 
@@ -72,7 +72,7 @@
     paces.seen(sampler, 0.05)
     assert paces.steady_s(sampler) == 0.05
     assert paces.own_table() == {"s0": 0.05}
-    clock.now += BELIEVED_S + 1.0
+    clock.now += OBSERVATION_MAX_AGE_S + 1.0
     assert paces.steady_s(sampler) == 0.07
     assert paces.own_table() == {}
     paces.told("p", {})
