--- a/src/crankseam/serving/admission.py
+++ b/src/crankseam/serving/admission.py
@@ -17,7 +17,7 @@
 
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import Unauthorized, Unavailable
-from crankseam.serving.retry import RETRY_AFTER_UNCONFIRMED_S
+from crankseam.serving.retry import RETRY_AFTER_UNCONFIRMED_KEY_S
 from crankseam.serving.routes import Configuration, RequestKind, Route
 from crankseam.serving.tenants import Tenant, bearer_key
 
@@ -98,5 +98,5 @@
             raise Unauthorized("no API key that is known here", OUTCOME_NOT_RUN)
         if self._policy.strict and self._confirmed_age_s() > self._policy.max_confirmation_age_s:
             reason = "whether the API key still stands can't be confirmed"
-            raise Unavailable(reason, OUTCOME_NOT_RUN, RETRY_AFTER_UNCONFIRMED_S)
+            raise Unavailable(reason, OUTCOME_NOT_RUN, RETRY_AFTER_UNCONFIRMED_KEY_S)
         return tenant
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -93,7 +93,7 @@
         Problem : the request was given up; its outcome says whether it may have run.
         """
         service = self._splitter.pick(route)
-        ends_at = retry.attempts_end(request, route)
+        ends_at = retry.give_up_time(request, route)
         trial = self._guard.begin(trial_subject(request, route), default_most_ends(route.kind))
         await trial.admit()
         forwarding = _Forwarding(request, route, service, ends_at, trial)
@@ -105,7 +105,7 @@
                 answer = await self._attempt_until_answered(forwarding)
         except TimeoutError:
             answer = None
-            history.reasons.append(retry.reason_of_end(request, route))
+            history.reasons.append(retry.give_up_reason(request, route))
         finally:
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
@@ -147,7 +147,7 @@
         service = self._registry.of_service(forwarding.service)
         candidates = [one for one in service if self._registry.may_send(one, now)]
         found = choose_back_end(candidates, self._zone, now, history.tried)
-        if found is None and retry.may_repeat_back_ends(history):
+        if found is None and retry.may_reuse_back_ends(history):
             found = choose_back_end(candidates, self._zone, now)
         return found
 
@@ -157,7 +157,7 @@
         """One attempt, and a second one elsewhere when the first is slow."""
         tasks = {asyncio.create_task(self._attempt(forwarding, first))}
         try:
-            patience_s = retry.hedge_after_s(forwarding.route)
+            patience_s = retry.hedge_delay_s(forwarding.route)
             done, tasks = await asyncio.wait(tasks, timeout=patience_s)
             if not done:
                 second = self._choose_second(forwarding)
@@ -196,7 +196,7 @@
     ) -> Answer | StreamingAnswer | None:
         """One attempt at one back end; None when it gave nothing that ends the request."""
         history = forwarding.history
-        history.sent_to(back_end.record.id)
+        history.record_sent(back_end.record.id)
         back_end.occupy_slot()
         sent_at, may_have_run = clocks.promised_s(), True
         try:
@@ -204,17 +204,17 @@
                 answer = await self._send(forwarding, back_end, send)
         except AttemptNotRun as rejection:
             may_have_run = False
-            history.rejected_by(back_end.record.id, rejection.reason)
+            history.record_rejected(back_end.record.id, rejection.reason)
             self._take_rejection(back_end, rejection)
             return None
         except AttemptBroken as failure:
-            history.broke_at(back_end.record.id, failure.reason)
+            history.record_broken(back_end.record.id, failure.reason)
             back_end.failed()
             return None
         finally:
             back_end.release_slot()
             if may_have_run:
-                history.may_have_begun(sent_at)
+                history.record_possible_start(sent_at)
         return self._take_answer(forwarding, back_end, answer)
 
     async def _send(
@@ -248,8 +248,8 @@
         if isinstance(answer, StreamingAnswer):
             back_end.succeeded()
             return replace(answer, chunks=self._watched(answer, back_end, forwarding.trial))
-        if retry.is_tried_again_after(forwarding.route, answer):
-            forwarding.history.failed_at(back_end.record.id, answer)
+        if retry.is_retryable(forwarding.route, answer):
+            forwarding.history.record_server_error(back_end.record.id, answer)
             back_end.failed()
             return None
         back_end.succeeded()
--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -1,14 +1,17 @@
-"""How often is a request sent, when does it get a second attempt, what is its caller told?
-
-Inputs: the route (most attempts, timeout and target latency in seconds), the caller's deadline
-(time of promises), and what became of the attempts so far; all are the request's own, none is old.
-Rule: A repeatable request may run `max_attempts` times, any other once; a rejected attempt did not
-run and does not count, but `MOST_REJECTIONS` of them end the request. A repeatable one whose first
-attempt is slow gets a second one elsewhere beside it, and the first answer counts. At the caller's
-deadline or the route's timeout it is given up; "not run" is said only if no attempt may have run.
-Protects: requests that may run once from running twice, and callers from a slow or broken back end.
-Shown by: `request_hedged`, `request_answered` and `request_given_up` (attempts, reasons).
-Held by: tests/serving/test_retry.py, tests/platform/test_front.py.
+"""Retry policy: how often a request is sent, when it is hedged, and how failure is reported.
+
+Inputs: the route (maximum number of attempts; timeout and target latency, in seconds); the deadline
+of the caller; the outcomes of the attempts so far. All belong to the request, so none can be stale.
+Points in time are in seconds of the suspend-aware clock, `clocks.promised_s`.
+Rule: A repeatable request may run `max_attempts` times, any other request once. A rejected attempt
+did not run and does not count, but the request is given up after `MAX_REJECTIONS` rejections. If
+the first attempt of a repeatable request is slow, a second one is started concurrently at another
+back end, and the first answer is used. A request is given up at the deadline of the caller or the
+timeout of the route, whichever is earlier. "Not run" is reported only if no attempt may have run.
+Purpose: Prevents requests that may run only once from running twice, and protects callers from slow
+or failing back ends.
+Logged as: `request_hedged`, `request_answered` and `request_given_up` (attempts, reasons).
+Tested by: tests/serving/test_retry.py, tests/platform/test_front.py.
 """
 
 from __future__ import annotations
@@ -20,49 +23,49 @@
 from crankseam.serving.messages import Answer, InboundRequest, StreamingAnswer
 from crankseam.serving.routes import RequestKind, Route
 
-HEDGE_TARGET_SHARE = 0.75
-"""A repeatable request gets a second attempt after this share of its route's target latency, so
-that the second has the rest of it. Origin not recorded."""
-ANSWER_MARGIN_S = 0.03
-"""Seconds by which the caller gets its answer before it would stop waiting: the way back, and the
-event loop's lag. Origin not recorded."""
-MOST_REJECTIONS = 4
-"""Back ends that may reject one request before it is given up: its caller comes back after a pause,
-perhaps at another process with newer reports of load. Origin not recorded."""
+HEDGE_LATENCY_FRACTION = 0.75
+"""Fraction of the route's target latency after which a repeatable request is hedged. The rest of
+the target latency is left for the second attempt."""
+DEADLINE_MARGIN_S = 0.03
+"""Seconds before the deadline or the timeout at which a request is given up, so that the error
+reaches the caller in time: allows for transmission and for the lag of the event loop."""
+MAX_REJECTIONS = 4
+"""Number of rejections after which a request is given up. The caller retries after a pause,
+possibly at another process that has newer load reports."""
 REJECTION_PAUSE_S = 0.02
-"""Seconds between an attempt that broke or was rejected and the next one, once a back end has
-rejected the request. Origin not recorded."""
-SERVER_ERROR = 500
-"""HTTP statuses from here on say that the back end failed."""
+"""Seconds between a broken or rejected attempt and the next one, once any back end has rejected the
+request."""
+MIN_SERVER_ERROR_STATUS = 500
+"""Lowest HTTP status that indicates a failure of the back end."""
 
 RETRY_AFTER_NO_BACK_END_S = 0.1
-"""`Retry-After`, seconds, of a request that no back end took: slots come free within one request's
-time. Fixed, without spread. Origin not recorded."""
+"""`Retry-After`, in seconds, of a request that no back end accepted: slots become free within the
+duration of one request. The value is fixed, without jitter."""
 RETRY_AFTER_NO_CONFIGURATION_S = 0.3
-"""The same of a process that has read no configuration yet: it starts, and the entry offers others.
-Origin not recorded."""
+"""`Retry-After`, in seconds, of a process that has not read a configuration yet: it is starting,
+and the load balancer in front offers other processes."""
 RETRY_AFTER_STORE_AWAY_S = 0.3
-"""The same of a job call that the store did not answer: the next one may come to a process that it
-does answer. Origin not recorded."""
-RETRY_AFTER_UNCONFIRMED_S = 0.5
-"""The same of a process that can't confirm an API key: one that lost the store is back within about
-this time, or the caller asks another one. Origin not recorded."""
+"""`Retry-After`, in seconds, of a job call that failed because the store did not respond: the next
+call may reach a process that the store does respond to."""
+RETRY_AFTER_UNCONFIRMED_KEY_S = 0.5
+"""`Retry-After`, in seconds, of a process that cannot confirm an API key: a process that lost its
+connection to the store regains it within about this time, or the caller reaches another process."""
 
 
 @dataclass
 class AttemptHistory:
-    """What became of the attempts of one request so far.
+    """Outcomes of the attempts of one request so far.
 
     Attributes
     ==========
 
-    tried : ids of the back ends that it was sent to.
-    may_have_run : attempts that run, or that may have run; rejected ones are not among them.
-    rejections : attempts that a back end did not run and never will.
-    last_failure : the newest answer that said that its back end failed.
-    reasons : why each attempt did not end the request, and at last why it was given up.
-    began_at : time of promises, in seconds, at which it was sent to the first back end that may
-        have run it.
+    tried : ids of the back ends that the request was sent to.
+    may_have_run : number of attempts that are running or may have run; excludes rejected ones.
+    rejections : number of attempts that a back end did not run and never will.
+    last_failure : most recent answer with a server error.
+    reasons : one text for each attempt that did not complete the request, and finally the reason
+        for which the request was given up.
+    began_at : time at which the first attempt that may have run was sent.
     """
 
     tried: set[str] = field(default_factory=set)
@@ -72,79 +75,79 @@
     reasons: list[str] = field(default_factory=list)
     began_at: float | None = None
 
-    def sent_to(self, back_end_id: str) -> None:
-        """An attempt begins."""
+    def record_sent(self, back_end_id: str) -> None:
+        """Record that an attempt begins."""
         self.tried.add(back_end_id)
         self.may_have_run += 1
 
-    def rejected_by(self, back_end_id: str, reason: str) -> None:
-        """An attempt did not run."""
+    def record_rejected(self, back_end_id: str, reason: str) -> None:
+        """Record that a back end rejected an attempt without running it."""
         self.may_have_run -= 1
         self.rejections += 1
         self.reasons.append(f"{back_end_id}: {reason}")
 
-    def broke_at(self, back_end_id: str, reason: str) -> None:
-        """An attempt gave no whole answer."""
+    def record_broken(self, back_end_id: str, reason: str) -> None:
+        """Record that an attempt gave no complete answer."""
         self.reasons.append(f"{back_end_id}: {reason}")
 
-    def failed_at(self, back_end_id: str, answer: Answer) -> None:
-        """An attempt was answered by a failure."""
+    def record_server_error(self, back_end_id: str, answer: Answer) -> None:
+        """Record that an attempt was answered with a server error."""
         self.reasons.append(f"{back_end_id}: status {answer.status}")
         self.last_failure = answer
 
-    def may_have_begun(self, sent_at: float) -> None:
-        """An attempt that was sent at this time of promises may have run."""
+    def record_possible_start(self, sent_at: float) -> None:
+        """Record that an attempt sent at `sent_at` may have run."""
         began_at = self.began_at if self.began_at is not None else sent_at
         self.began_at = min(sent_at, began_at)
 
 
-def attempts_end(request: InboundRequest, route: Route) -> float:
-    """Time of promises, in seconds, at which a request is given up."""
-    return min(request.deadline, request.received_at + route.timeout_s) - ANSWER_MARGIN_S
+def give_up_time(request: InboundRequest, route: Route) -> float:
+    """Return the time at which a request is given up."""
+    return min(request.deadline, request.received_at + route.timeout_s) - DEADLINE_MARGIN_S
 
 
-def reason_of_end(request: InboundRequest, route: Route) -> str:
-    """Which of the two times passed."""
-    by_route = request.received_at + route.timeout_s <= request.deadline
-    return "route's timeout" if by_route else "caller's deadline"
+def give_up_reason(request: InboundRequest, route: Route) -> str:
+    """Return which limit ends the request: the route's timeout or the caller's deadline."""
+    is_route_timeout = request.received_at + route.timeout_s <= request.deadline
+    return "route's timeout" if is_route_timeout else "caller's deadline"
 
 
 def has_attempts_left(route: Route, history: AttemptHistory) -> bool:
-    """Whether a request may run once more, beside attempts that are under way."""
-    most_runs = route.max_attempts if route.kind is RequestKind.REPEATABLE else 1
-    return history.may_have_run < most_runs
+    """Whether another attempt may be started, in addition to those that are running."""
+    max_runs = route.max_attempts if route.kind is RequestKind.REPEATABLE else 1
+    return history.may_have_run < max_runs
 
 
 def is_rejected_too_often(history: AttemptHistory) -> bool:
-    """Whether a request is given up, since so many back ends rejected it."""
-    return history.rejections >= MOST_REJECTIONS
+    """Whether a request is given up because too many attempts were rejected."""
+    return history.rejections >= MAX_REJECTIONS
 
 
-def may_repeat_back_ends(history: AttemptHistory) -> bool:
-    """Whether back ends that were tried may be tried again, if there is no other.
+def may_reuse_back_ends(history: AttemptHistory) -> bool:
+    """Whether back ends that were already tried may be tried again if there is no other.
 
-    If all of them rejected the request, some may have room by now.
+    They may if all of them rejected the request, since some may have free slots by now.
     """
     return not history.may_have_run
 
 
-def hedge_after_s(route: Route) -> float:
-    """Seconds after which a slow first attempt of a repeatable request gets a second beside it."""
-    return route.target_latency_s * HEDGE_TARGET_SHARE
+def hedge_delay_s(route: Route) -> float:
+    """Return the seconds after which a repeatable request without an answer is hedged."""
+    return route.target_latency_s * HEDGE_LATENCY_FRACTION
 
 
 def is_server_error(answer: Answer | StreamingAnswer) -> bool:
-    """Whether an answer says that its back end failed."""
-    return answer.status >= SERVER_ERROR
+    """Whether the status of an answer indicates a failure of the back end."""
+    return answer.status >= MIN_SERVER_ERROR_STATUS
 
 
-def is_tried_again_after(route: Route, answer: Answer) -> bool:
-    """Whether another attempt may follow an answer; else the caller gets it."""
+def is_retryable(route: Route, answer: Answer) -> bool:
+    """Whether another attempt may follow an answer; otherwise the caller receives the answer."""
     return is_server_error(answer) and route.kind is RequestKind.REPEATABLE
 
 
 def problem_when_given_up(history: AttemptHistory) -> Problem:
-    """What the caller is told if no answer can be given."""
+    """Return the error reported to the caller of a request that was given up."""
     reason = history.reasons[-1] if history.reasons else "no back end took it"
     if history.may_have_run:
         return OutcomeUnknown(reason, OUTCOME_UNKNOWN)
--- a/tests/serving/test_retry.py
+++ b/tests/serving/test_retry.py
@@ -4,7 +4,7 @@
 from crankseam.errors import OutcomeUnknown, Unavailable
 from crankseam.serving import retry
 from crankseam.serving.messages import Answer, InboundRequest
-from crankseam.serving.retry import MOST_REJECTIONS, AttemptHistory
+from crankseam.serving.retry import MAX_REJECTIONS, AttemptHistory
 from crankseam.serving.routes import RequestKind, Route, Share
 
 FAILURE, SUCCESS = Answer(500, (), b""), Answer(200, (), b"")
@@ -21,45 +21,45 @@
 
 def test_the_earlier_of_deadline_and_timeout_ends_it_a_little_ahead():
     route = make_route()
-    assert retry.attempts_end(make_request(), route) == pytest.approx(11.97)
-    assert retry.reason_of_end(make_request(), route) == "route's timeout"
+    assert retry.give_up_time(make_request(), route) == pytest.approx(11.97)
+    assert retry.give_up_reason(make_request(), route) == "route's timeout"
     urgent = make_request(deadline=11.0)
-    assert retry.attempts_end(urgent, route) == pytest.approx(10.97)
-    assert retry.reason_of_end(urgent, route) == "caller's deadline"
+    assert retry.give_up_time(urgent, route) == pytest.approx(10.97)
+    assert retry.give_up_reason(urgent, route) == "caller's deadline"
 
 
 @pytest.mark.parametrize("kind", [RequestKind.ONCE, RequestKind.STREAM])
 def test_what_may_run_once_has_one_attempt_whatever_the_route_allows(kind):
     route, history = make_route(kind), AttemptHistory()
     assert retry.has_attempts_left(route, history)
-    history.sent_to("a")
+    history.record_sent("a")
     assert not retry.has_attempts_left(route, history)
-    assert not retry.is_tried_again_after(route, FAILURE)
+    assert not retry.is_retryable(route, FAILURE)
 
 
 def test_a_repeatable_request_has_as_many_as_its_route_allows():
     route, history = make_route(max_attempts=2), AttemptHistory()
-    history.sent_to("a")
+    history.record_sent("a")
     assert retry.has_attempts_left(route, history)
-    history.sent_to("b")
+    history.record_sent("b")
     assert not retry.has_attempts_left(route, history)
-    assert retry.is_tried_again_after(route, FAILURE)
-    assert not retry.is_tried_again_after(route, SUCCESS)
+    assert retry.is_retryable(route, FAILURE)
+    assert not retry.is_retryable(route, SUCCESS)
 
 
 def test_a_rejection_does_not_count_as_a_run_but_many_end_the_request():
     route, history = make_route(RequestKind.ONCE), AttemptHistory()
-    for number in range(MOST_REJECTIONS):
+    for number in range(MAX_REJECTIONS):
         assert not retry.is_rejected_too_often(history)
-        history.sent_to(f"b{number}")
-        assert not retry.may_repeat_back_ends(history)
-        history.rejected_by(f"b{number}", "status 503")
-        assert retry.has_attempts_left(route, history) and retry.may_repeat_back_ends(history)
+        history.record_sent(f"b{number}")
+        assert not retry.may_reuse_back_ends(history)
+        history.record_rejected(f"b{number}", "status 503")
+        assert retry.has_attempts_left(route, history) and retry.may_reuse_back_ends(history)
     assert retry.is_rejected_too_often(history)
 
 
 def test_the_second_attempt_leaves_the_rest_of_the_target_latency():
-    assert retry.hedge_after_s(make_route(target_latency=0.4)) == pytest.approx(0.3)
+    assert retry.hedge_delay_s(make_route(target_latency=0.4)) == pytest.approx(0.3)
 
 
 def test_not_run_is_said_only_where_no_attempt_may_have_run():
@@ -67,11 +67,11 @@
     problem = retry.problem_when_given_up(history)
     assert isinstance(problem, Unavailable) and problem.outcome == OUTCOME_NOT_RUN
     assert problem.retry_after and problem.detail == "no back end took it"
-    history.sent_to("a")
-    history.rejected_by("a", "status 503")
+    history.record_sent("a")
+    history.record_rejected("a", "status 503")
     assert isinstance(retry.problem_when_given_up(history), Unavailable)
-    history.sent_to("b")
-    history.broke_at("b", "ServerDisconnectedError")
+    history.record_sent("b")
+    history.record_broken("b", "ServerDisconnectedError")
     problem = retry.problem_when_given_up(history)
     assert isinstance(problem, OutcomeUnknown) and problem.outcome == OUTCOME_UNKNOWN
     assert problem.retry_after is None and problem.detail == "b: ServerDisconnectedError"
@@ -80,5 +80,5 @@
 def test_it_began_when_the_first_attempt_that_may_have_run_was_sent():
     history = AttemptHistory()
     for sent_at in (12.0, 11.0, 13.0):
-        history.may_have_begun(sent_at)
+        history.record_possible_start(sent_at)
     assert history.began_at == 11.0
