--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -180,7 +180,7 @@
         now = time.monotonic()
         if left_s > 0.0 and not known.cold.is_cold(now):
             log.info("back_end_cold", extra={"back_end": known.record.id, "seconds": left_s})
-        known.cold.told(left_s, now)
+        known.cold.set_remaining(left_s, now)
 
     def may_send(self, back_end: BackEnd, now: float) -> bool:
         """Whether this process may send a request there now: a cold one bears few."""
