--- a/tests/serving/test_settings.py
+++ b/tests/serving/test_settings.py
@@ -17,7 +17,7 @@
 """
 
 
-def parse_error(text):
+def refusal(text):
     with pytest.raises(InvalidConfiguration) as group:
         parse_settings(text, "settings.toml")
     (error,) = group.value.exceptions
@@ -43,7 +43,7 @@
     ],
 )
 def test_a_wrong_field_is_named_with_file_and_line(old, new, line, field):
-    error = parse_error(GOOD.replace(old, new))
+    error = refusal(GOOD.replace(old, new))
     assert (error.file, error.line, error.field) == ("settings.toml", line, field)
     assert error.expected
 
