--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -1,9 +1,10 @@
-"""Forwards one request to a back end, and again where that is allowed.
+"""Forwards requests to back ends, with retries and hedging where the route allows them.
 
-Owns the attempts of a request: their tasks, their end at the deadline, and what each back end is
-told of them (slots in use, failures). The decisions are elsewhere: which back end in
-`choice`, how often and when to give up in `retry`, whether it is held back in `quarantine`.
-Relies on the registry for what discovery says, and on a `BackEndClient` for the wire.
+Owns the attempts of a request: their tasks, their cancellation at the deadline, and the updates to
+the state of each back end (slots in use, failures). The decisions are made elsewhere: `choice`
+selects the back end, `retry` limits the attempts, and `quarantine` holds back requests that make
+back ends crash. Relies on the registry for the back ends that discovery reports, and on a
+`BackEndClient` for the wire protocol.
 """
 
 from __future__ import annotations
@@ -38,36 +39,36 @@
 
 @dataclass(frozen=True)
 class _Forwarding:
-    """One request on its way.
+    """State of one request that is being forwarded.
 
     Attributes
     ==========
 
-    ends_at : time of promises, in seconds, at which it is given up.
+    give_up_at : time, in seconds of `clocks.promised_s`, at which the request is given up.
     """
 
     request: InboundRequest
     route: Route
     service: str
-    ends_at: float
+    give_up_at: float
     trial: Trial
     history: AttemptHistory = field(default_factory=AttemptHistory)
 
 
 class Forwarder:
-    """Forwards requests of one process.
+    """Forwards the requests that one process receives.
 
     Parameters
     ==========
 
-    guard : holds back requests under which back ends ended.
-    zone : where this process runs; back ends there are preferred between equals.
+    guard : holds back requests during which back ends terminated.
+    zone : zone of this process; among equally loaded back ends, those in this zone are preferred.
 
     Attributes
     ==========
 
-    on_begun : called once for each request that may have begun to run, with its tenant and the
-        time of promises at which it did.
+    on_begun : callbacks invoked once for each request that may have started to run, with its tenant
+        and the time, in seconds of `clocks.promised_s`, at which it was first sent.
     """
 
     def __init__(
@@ -85,23 +86,23 @@
         self._splitter = TrafficSplitter()
 
     async def forward(self, request: InboundRequest, route: Route) -> Answer | StreamingAnswer:
-        """Answer a request, within its deadline and its route's timeout.
+        """Return the answer to a request, within its deadline and the timeout of its route.
 
         Raises
         ======
 
-        Problem : the request was given up; its outcome says whether it may have run.
+        Problem : the request was given up; `outcome` states whether it may have run.
         """
         service = self._splitter.pick(route)
-        ends_at = retry.give_up_time(request, route)
+        give_up_at = retry.give_up_time(request, route)
         trial = self._guard.begin(trial_subject(request, route), default_most_ends(route.kind))
         await trial.admit()
-        forwarding = _Forwarding(request, route, service, ends_at, trial)
+        forwarding = _Forwarding(request, route, service, give_up_at, trial)
         history = forwarding.history
         answer: Answer | StreamingAnswer | None = None
         try:
-            loop_end = asyncio.get_running_loop().time() + ends_at - clocks.promised_s()
-            async with asyncio.timeout_at(loop_end):
+            loop_deadline = asyncio.get_running_loop().time() + give_up_at - clocks.promised_s()
+            async with asyncio.timeout_at(loop_deadline):
                 answer = await self._attempt_until_answered(forwarding)
         except TimeoutError:
             answer = None
@@ -110,11 +111,11 @@
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
             if history.began_at is not None:
-                for take in self.on_begun:
-                    take(request.tenant, history.began_at)
+                for notify in self.on_begun:
+                    notify(request.tenant, history.began_at)
         if answer is None:
             answer = history.last_failure
-        _log_end(forwarding, answer)
+        _log_outcome(forwarding, answer)
         if answer is None:
             raise retry.problem_when_given_up(history)
         return answer
@@ -124,7 +125,7 @@
     ) -> Answer | StreamingAnswer | None:
         route, history = forwarding.route, forwarding.history
         while retry.has_attempts_left(route, history):
-            if clocks.promised_s() >= forwarding.ends_at:
+            if clocks.promised_s() >= forwarding.give_up_at:
                 raise TimeoutError
             if retry.is_rejected_too_often(history) or not forwarding.trial.may_send():
                 return None
@@ -132,7 +133,7 @@
             if first is None:
                 return None
             if route.kind is RequestKind.REPEATABLE:
-                answer = await self._hedged(forwarding, first)
+                answer = await self._attempt_hedged(forwarding, first)
             else:
                 answer = await self._attempt(forwarding, first)
             if answer is not None:
@@ -145,22 +146,22 @@
         history = forwarding.history
         now = clocks.paced_s()
         service = self._registry.of_service(forwarding.service)
-        candidates = [one for one in service if self._registry.may_send(one, now)]
-        found = choose_back_end(candidates, self._zone, now, history.tried)
-        if found is None and retry.may_reuse_back_ends(history):
-            found = choose_back_end(candidates, self._zone, now)
-        return found
+        candidates = [back_end for back_end in service if self._registry.may_send(back_end, now)]
+        chosen = choose_back_end(candidates, self._zone, now, history.tried)
+        if chosen is None and retry.may_reuse_back_ends(history):
+            chosen = choose_back_end(candidates, self._zone, now)
+        return chosen
 
-    async def _hedged(
+    async def _attempt_hedged(
         self, forwarding: _Forwarding, first: BackEnd
     ) -> Answer | StreamingAnswer | None:
-        """One attempt, and a second one elsewhere when the first is slow."""
+        """Make one attempt, and a concurrent one at another back end if the first is slow."""
         tasks = {asyncio.create_task(self._attempt(forwarding, first))}
         try:
-            patience_s = retry.hedge_delay_s(forwarding.route)
-            done, tasks = await asyncio.wait(tasks, timeout=patience_s)
+            hedge_delay_s = retry.hedge_delay_s(forwarding.route)
+            done, tasks = await asyncio.wait(tasks, timeout=hedge_delay_s)
             if not done:
-                second = self._choose_second(forwarding)
+                second = self._choose_hedge(forwarding)
                 if second is not None:
                     log.info(
                         "request_hedged",
@@ -179,8 +180,8 @@
             for task in tasks:
                 task.cancel()
 
-    def _choose_second(self, forwarding: _Forwarding) -> BackEnd | None:
-        """The back end of a second attempt beside the first; None if there is to be none."""
+    def _choose_hedge(self, forwarding: _Forwarding) -> BackEnd | None:
+        """Return the back end for the hedged attempt; None if none is allowed or available."""
         history = forwarding.history
         if not retry.has_attempts_left(forwarding.route, history):
             return None
@@ -194,7 +195,7 @@
     async def _attempt(
         self, forwarding: _Forwarding, back_end: BackEnd
     ) -> Answer | StreamingAnswer | None:
-        """One attempt at one back end; None when it gave nothing that ends the request."""
+        """Make one attempt at a back end; None if the request is not completed by it."""
         history = forwarding.history
         history.record_sent(back_end.record.id)
         back_end.occupy_slot()
@@ -205,7 +206,7 @@
         except AttemptNotRun as rejection:
             may_have_run = False
             history.record_rejected(back_end.record.id, rejection.reason)
-            self._take_rejection(back_end, rejection)
+            self._handle_rejection(back_end, rejection)
             return None
         except AttemptBroken as failure:
             history.record_broken(back_end.record.id, failure.reason)
@@ -215,16 +216,16 @@
             back_end.release_slot()
             if may_have_run:
                 history.record_possible_start(sent_at)
-        return self._take_answer(forwarding, back_end, answer)
+        return self._handle_answer(forwarding, back_end, answer)
 
     async def _send(
         self, forwarding: _Forwarding, back_end: BackEnd, send: Send
     ) -> Answer | StreamingAnswer:
-        """Send it once, and note for its trial what came of it."""
+        """Send the request once, and record the outcome for its quarantine trial."""
         relay = forwarding.route.kind is not RequestKind.REPEATABLE
         try:
             answer = await self._client.send(
-                back_end, forwarding.request, forwarding.ends_at, relay
+                back_end, forwarding.request, forwarding.give_up_at, relay
             )
         except AttemptNotRun:
             send.was_not_run = True
@@ -235,19 +236,19 @@
         send.was_answered = isinstance(answer, Answer) and not retry.is_server_error(answer)
         return answer
 
-    def _take_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
+    def _handle_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
         back_end.was_full()
         self._guard.rejected(back_end, rejection)
         if rejection.wrong_instance:
             back_end.failed()
 
-    def _take_answer(
+    def _handle_answer(
         self, forwarding: _Forwarding, back_end: BackEnd, answer: Answer | StreamingAnswer
     ) -> Answer | StreamingAnswer | None:
-        """The answer for the caller; None where another attempt may follow."""
+        """Return the answer for the caller; None if another attempt may follow."""
         if isinstance(answer, StreamingAnswer):
             back_end.succeeded()
-            return replace(answer, chunks=self._watched(answer, back_end, forwarding.trial))
+            return replace(answer, chunks=self._monitored_body(answer, back_end, forwarding.trial))
         if retry.is_retryable(forwarding.route, answer):
             forwarding.history.record_server_error(back_end.record.id, answer)
             back_end.failed()
@@ -255,10 +256,13 @@
         back_end.succeeded()
         return answer
 
-    async def _watched(
+    async def _monitored_body(
         self, answer: StreamingAnswer, back_end: BackEnd, trial: Trial
     ) -> AsyncGenerator[bytes, None]:
-        """An answer's body as it comes; its back end may end before it is whole."""
+        """Forward the body of an answer while it is received, and record how it ended.
+
+        The back end may terminate before the body is complete.
+        """
         try:
             with trial.sending() as send:
                 async with aclosing(answer.chunks) as chunks:
@@ -273,7 +277,7 @@
             trial.close()
 
 
-def _log_end(forwarding: _Forwarding, answer: Answer | StreamingAnswer | None) -> None:
+def _log_outcome(forwarding: _Forwarding, answer: Answer | StreamingAnswer | None) -> None:
     request, history, trial = forwarding.request, forwarding.history, forwarding.trial
     log.info(
         "request_answered" if answer is not None else "request_given_up",
@@ -293,7 +297,7 @@
 
 
 def trial_subject(request: InboundRequest, route: Route) -> TrialSubject:
-    """What the quarantine compares of a request, and what its log lines name."""
+    """Return the parts of a request that the quarantine compares and that its log lines contain."""
     return TrialSubject(
         request.id,
         request.tenant,
