--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -1,8 +1,8 @@
-"""What this process believes of each back end: load, failures, weight versions, its own requests.
+"""State of each back end as known to this process: load, failures, weight versions, own requests.
 
-Owns the registry of back ends by id, as discovery fills it, and the time for which a back end is
-avoided after it failed. Relies on the reports that back ends send with their answers. Which of them
-gets a request is decided in `choice` (requests) and `jobs.places` (items).
+Owns the registry of back ends by id, which discovery fills, and the time for which a back end is
+avoided after a failure. Relies on the load reports that back ends send with their answers. The back
+end for a request is selected in `choice`, the one for an item in `jobs.places`.
 """
 
 from __future__ import annotations
@@ -18,23 +18,24 @@
 log = logging.getLogger(__name__)
 
 LOAD_REPORT_MAX_AGE_S = 1.5
-"""A reported load older than so many seconds is not believed any more. Origin not recorded."""
+"""Seconds after which a reported load is ignored as stale."""
 AVOID_BASE_S = 0.4
-"""Seconds for which a back end is avoided after its first failure. Origin not recorded."""
+"""Seconds for which a back end is avoided after its first failure; doubles with each further
+one."""
 AVOID_CAP_S = 3.0
-"""After failures in a row it is avoided for a time that doubles up to so many seconds. Origin not
-recorded."""
-FULL_AVOID_S = 0.05
-"""Seconds for which a back end that rejected a request is avoided: a slot comes free soon. Origin
-not recorded."""
+"""Longest time, in seconds, for which a back end is avoided after consecutive failures."""
+REJECTED_AVOID_S = 0.05
+"""Seconds for which a back end is avoided after it rejected a request. The time is short since a
+slot becomes free soon."""
 ENDED_AVOID_S = 5.0
-"""Seconds: discovery drops a silent back end after some three heartbeats; one that was taken as
-ended by mistake is tried again after this."""
+"""Seconds for which a back end is avoided after it was found to have ended. Discovery removes a
+silent back end after about three heartbeats; a back end that was considered ended by mistake is
+used again after this time."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackEndRecord:
-    """What discovery says of one incarnation of a back end."""
+    """Entry of one incarnation of a back end in discovery."""
 
     id: str
     service: str
@@ -43,56 +44,63 @@
     slots: int
     leaving: bool = False
     versions: dict[str, int] = field(default_factory=dict)
-    """Weight version by model."""
+    """Loaded weight version, by model."""
     is_spot: bool = False
-    """Whether it may be taken away at short notice."""
+    """Whether the back end runs on spot capacity, which may be withdrawn at short notice."""
     cold_left_s: float = 0.0
-    """How long it bears few requests still, when it said so."""
+    """Remaining cold time, in seconds, when the entry was written; see `cold_starts`."""
 
 
 @dataclass(slots=True, eq=False)
 class BackEnd:
-    """One incarnation of a back end and this process's experience with it."""
+    """One incarnation of a back end, with the state that this process keeps about it."""
 
     record: BackEndRecord
     in_flight: int = 0
-    """Requests of this process that run there or were promised a place; counted by `occupy_slot`
-    and `release_slot`."""
+    """Requests of this process that run there or have been granted a slot; maintained by
+    `occupy_slot` and `release_slot`."""
     reported_load: int = 0
-    """Requests of all processes there, running or waiting, by its last report."""
-    reported_own: int = 0
-    """`in_flight` when that report came."""
+    """Running and waiting requests of all processes, according to the last load report."""
+    in_flight_at_report: int = 0
+    """Value of `in_flight` when the last load report arrived."""
     reported_at: float = float("-inf")
-    """Monotonic time of the report, in seconds."""
+    """Monotonic time, in seconds, at which the last load report arrived."""
     failures: int = 0
-    """In a row, those that came together counted once."""
+    """Number of consecutive failures; failures that occur together count once."""
     avoid_until: float = float("-inf")
-    """Monotonic time, in seconds, until which it is chosen only where there is no other."""
+    """Monotonic time, in seconds, until which the back end is used only if there is no other."""
     observed_versions: dict[str, int] = field(default_factory=dict)
-    """Newest weight version seen in answers, by model."""
+    """Newest weight version observed in answers, by model."""
     runs: dict[str, RunSize] = field(default_factory=dict)
-    """Runs of this process that hold or were granted a place there, by item."""
+    """Runs of this process that occupy or were granted a slot there, by item."""
     cold: ColdStart = field(default_factory=ColdStart)
     has_ended: bool = False
-    """Whether this process found that it ended without having said so."""
+    """Whether this process found that the back end ended without announcing it."""
 
     def occupy_slot(self) -> None:
-        """A request of this process is sent there, or is promised the next place."""
+        """Count a request of this process that is sent there or is granted the next free slot."""
         self.in_flight += 1
         self.cold.sent(time.monotonic())
 
     def release_slot(self) -> None:
-        """It has ended, or does not go there after all."""
+        """Stop counting a request that has ended, or that is not sent there after all."""
         self.in_flight -= 1
 
     def expected_load(self, now: float) -> float:
-        """Requests there: this process's own and, while the report is fresh, those of others."""
+        """Return the estimated number of requests at the back end.
+
+        The estimate is the number of requests of this process plus, while the last load report is
+        fresh, the number of requests of other processes according to that report.
+        """
         if now - self.reported_at > LOAD_REPORT_MAX_AGE_S:
             return float(self.in_flight)
-        return self.in_flight + max(0, self.reported_load - self.reported_own)
+        return self.in_flight + max(0, self.reported_load - self.in_flight_at_report)
 
     def has_memory_for(self, size: RunSize, memory: EngineMemory, now: float) -> bool:
-        """Whether a run fits until its end beside those that are there."""
+        """Whether a run is expected to fit in memory until it ends, beside the runs already there.
+
+        A run always fits if the back end has no other.
+        """
         others = max(0.0, self.expected_load(now) - self.in_flight)
         taken = sum(run.expected_tokens(memory) for run in self.runs.values())
         if not taken and not others:
@@ -101,25 +109,29 @@
         return expected <= memory.tokens
 
     def report_load(self, running: int, waiting: int) -> None:
-        """Take a load report of the back end itself."""
+        """Store a load report that the back end sent."""
         self.reported_load = running + waiting
-        self.reported_own = self.in_flight
+        self.in_flight_at_report = self.in_flight
         self.reported_at = time.monotonic()
 
     def version_of(self, model: str) -> int:
-        """Newest version of a model that this back end is known to carry; 0 if unknown."""
+        """Return the newest weight version of a model that the back end is known to have loaded.
+
+        The version is 0 if none is known.
+        """
         return max(self.record.versions.get(model, 0), self.observed_versions.get(model, 0))
 
     def succeeded(self) -> None:
-        """An answer came as it should."""
+        """Record a valid answer: the back end is no longer avoided."""
         self.has_ended = False
         self.failures = 0
         self.avoid_until = float("-inf")
 
     def failed(self) -> None:
-        """An attempt broke: avoid the back end for a while.
+        """Record a failed attempt, and avoid the back end for some time.
 
-        Attempts that break together, as when it resets all its connections, are one failure.
+        Attempts that fail together, for example when the back end resets all its connections, count
+        as one failure.
         """
         if self.avoid_until > time.monotonic() and self.failures:
             return
@@ -128,17 +140,23 @@
         self.avoid_until = max(self.avoid_until, time.monotonic() + pause_s)
 
     def ended(self) -> None:
-        """It ended without having said so: discovery shows it a while longer."""
+        """Record that the back end ended unannounced; discovery still lists it for some time."""
         self.has_ended = True
         self.avoid_until = max(self.avoid_until, time.monotonic() + ENDED_AVOID_S)
 
-    def was_full(self, pause_s: float = FULL_AVOID_S) -> None:
-        """The back end rejected a request without running it."""
+    def was_full(self, pause_s: float = REJECTED_AVOID_S) -> None:
+        """Record that the back end rejected a request without running it; avoid it briefly."""
         self.avoid_until = max(self.avoid_until, time.monotonic() + pause_s)
 
 
 class BackEndRegistry:
-    """All back ends by id, as discovery tells them; ids are never used again."""
+    """All back ends that discovery reports, by id; ids are never reused.
+
+    Attributes
+    ==========
+
+    on_change : callbacks invoked after each change.
+    """
 
     def __init__(self) -> None:
         self._by_id: dict[str, BackEnd] = {}
@@ -148,49 +166,52 @@
         self.cold_share: Callable[[str, str], int | None] = lambda _id, _service: int(
             DEFAULT_COLD_PER_S
         )
-        """Requests that this process may send to a cold back end within any second, by its id and
-        service; None if any number."""
+        """Returns how many requests this process may send to a cold back end within any second, by
+        its id and service; None means no limit."""
 
-    def update(self, record: BackEndRecord, is_first_reading: bool = False) -> None:
-        """Take what discovery says of a back end.
+    def update(self, record: BackEndRecord, is_initial_read: bool = False) -> None:
+        """Add a back end, or update its entry.
 
         Parameters
         ==========
 
-        is_first_reading : it was found when this process read all: no line for each.
+        is_initial_read : whether this process is reading all entries for the first time; added back
+            ends are then not logged individually.
         """
-        known = self._by_id.get(record.id)
-        if known is None:
-            known = self._by_id[record.id] = BackEnd(record)
-            self._by_service.setdefault(record.service, {})[record.id] = known
-            if not is_first_reading:
+        back_end = self._by_id.get(record.id)
+        if back_end is None:
+            back_end = self._by_id[record.id] = BackEnd(record)
+            self._by_service.setdefault(record.service, {})[record.id] = back_end
+            if not is_initial_read:
                 log.info("back_end_in", extra={"back_end": record.id, "service": record.service})
         else:
-            if record.service != known.record.service:
-                del self._by_service[known.record.service][record.id]
-                self._by_service.setdefault(record.service, {})[record.id] = known
-            if record.leaving and not known.record.leaving:
+            if record.service != back_end.record.service:
+                del self._by_service[back_end.record.service][record.id]
+                self._by_service.setdefault(record.service, {})[record.id] = back_end
+            if record.leaving and not back_end.record.leaving:
                 log.info("back_end_leaving", extra={"back_end": record.id})
-            known.record = record
-        self._take_cold(known, record.cold_left_s)
+            back_end.record = record
+        self._update_cold_start(back_end, record.cold_left_s)
         self._changed()
 
     @staticmethod
-    def _take_cold(known: BackEnd, left_s: float) -> None:
+    def _update_cold_start(back_end: BackEnd, remaining_s: float) -> None:
         now = time.monotonic()
-        if left_s > 0.0 and not known.cold.is_cold(now):
-            log.info("back_end_cold", extra={"back_end": known.record.id, "seconds": left_s})
-        known.cold.set_remaining(left_s, now)
+        if remaining_s > 0.0 and not back_end.cold.is_cold(now):
+            log.info(
+                "back_end_cold", extra={"back_end": back_end.record.id, "seconds": remaining_s}
+            )
+        back_end.cold.set_remaining(remaining_s, now)
 
     def may_send(self, back_end: BackEnd, now: float) -> bool:
-        """Whether this process may send a request there now: a cold one bears few."""
+        """Whether this process may send a request now; the rate is limited for cold back ends."""
         if not back_end.cold.is_cold(now):
             return True
-        most = self.cold_share(back_end.record.id, back_end.record.service)
-        return back_end.cold.has_room(most, now)
+        limit_per_s = self.cold_share(back_end.record.id, back_end.record.service)
+        return back_end.cold.has_room(limit_per_s, now)
 
     def remove(self, back_end_id: str) -> None:
-        """The back end is gone from discovery: nothing new is sent there."""
+        """Remove a back end that is gone from discovery; it gets no new requests."""
         gone = self._by_id.pop(back_end_id, None)
         if gone is not None:
             del self._by_service[gone.record.service][back_end_id]
@@ -198,14 +219,17 @@
             self._changed()
 
     def evacuate(self, zone: str) -> None:
-        """The operator wants nothing new sent to a zone's back ends; what runs there goes on."""
+        """Send no new work to the back ends of a zone, as ordered by the operator.
+
+        Requests that are already running there continue.
+        """
         if zone not in self._evacuated:
             self._evacuated.add(zone)
             log.info("zone_evacuated", extra={"zone": zone})
             self._changed()
 
     def take_back(self, zone: str) -> None:
-        """The operator takes an evacuation back."""
+        """Revoke the evacuation of a zone, as ordered by the operator."""
         if zone in self._evacuated:
             self._evacuated.remove(zone)
             log.info("zone_taken_back", extra={"zone": zone})
@@ -219,23 +243,23 @@
             notify()
 
     def count(self) -> int:
-        """How many are known, leaving ones among them."""
+        """Return the number of known back ends, including those that are leaving."""
         return len(self._by_id)
 
     def by_id(self, back_end_id: str) -> BackEnd | None:
-        """The back end of this id, leaving or not."""
+        """Return the back end with an id, leaving or not; None if unknown."""
         return self._by_id.get(back_end_id)
 
     def is_current(self, back_end: BackEnd) -> bool:
-        """Whether new work may be sent to this back end now."""
+        """Whether this incarnation is still in discovery and accepts new work."""
         return self.is_known(back_end) and self._takes_new_work(back_end)
 
     def is_known(self, back_end: BackEnd) -> bool:
-        """Whether this incarnation is still in discovery, leaving or not."""
+        """Whether this incarnation is still in discovery, even if it is leaving."""
         return self._by_id.get(back_end.record.id) is back_end
 
     def carrying(self, model: str) -> list[BackEnd]:
-        """All that carry a model and are not leaving."""
+        """Return all back ends that have loaded a model and are not leaving."""
         return [
             back_end
             for back_end in self._by_id.values()
@@ -243,14 +267,14 @@
         ]
 
     def of_service(self, service: str) -> list[BackEnd]:
-        """Those that take new work."""
-        return [one for one in self.staying_of(service) if self._takes_new_work(one)]
+        """Return the back ends of a service that accept new work."""
+        return [back_end for back_end in self.staying_of(service) if self._takes_new_work(back_end)]
 
     def staying_of(self, service: str) -> list[BackEnd]:
-        """Those that are not leaving, in evacuated zones too."""
+        """Return the back ends of a service that are not leaving, including evacuated zones."""
         known = self._by_service.get(service, {}).values()
-        return [one for one in known if not one.record.leaving]
+        return [back_end for back_end in known if not back_end.record.leaving]
 
     def is_staying(self, back_end: BackEnd) -> bool:
-        """Whether it is known and not leaving, in an evacuated zone too."""
+        """Whether a back end is known and not leaving; its zone may be evacuated."""
         return self.is_known(back_end) and not back_end.record.leaving
