--- a/src/crankseam/serving/log_events.py
+++ b/src/crankseam/serving/log_events.py
@@ -1,8 +1,8 @@
-"""Catalogue of the log events of a serving process: meaning, and the fields beside the common ones.
+"""Catalogue of the log events of a serving process, with their meanings and specific fields.
 
-Common fields of every line: `time` (seconds since 1970, by the machine's own clock), `node`,
-`level`, `event`. A test checks that each line in the code is one of these, with these fields;
-docs/LOGS.md is written from this table.
+Every line also has the common fields `time` (seconds since 1970, from the wall clock of the
+machine), `node`, `level` and `event`. A test checks that every log call in the code uses an event
+of this catalogue with exactly its fields. docs/LOGS.md is generated from the catalogue.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One event: what it says and which fields it carries."""
+    """Meaning of a log event, and the names of its specific fields."""
 
     meaning: str
     fields: tuple[str, ...] = ()
@@ -33,91 +33,124 @@
 
 EVENTS: dict[str, LogEvent] = {
     # --- the process
-    "started": LogEvent("The process begins to serve.", ("settings",)),
-    "stopped": LogEvent("The process has ended as planned."),
-    "draining": LogEvent("A planned stop began; not ready from now on.", ("running",)),
+    "started": LogEvent("The process starts to serve requests.", ("settings",)),
+    "stopped": LogEvent("The process has completed a planned stop."),
+    "draining": LogEvent(
+        "A planned stop has begun; the process reports that it is not ready from now on.",
+        ("running",),
+    ),
     "stopped_with_requests_running": LogEvent(
-        "The planned stop ran out of time; these requests are cut.", ("running",)
+        "The time for the planned stop is over; the remaining requests are cut off.", ("running",)
     ),
     "reloaded": LogEvent("The settings file was read again and is valid."),
-    "reload_refused": LogEvent("The settings file is not valid; nothing changed.", ("errors",)),
-    "task_failed": LogEvent("A background task failed; a lasting one starts again.", ("task",)),
+    "reload_refused": LogEvent(
+        "The settings file is not valid; the current settings remain in effect.", ("errors",)
+    ),
+    "task_failed": LogEvent(
+        "A background task failed; long-running tasks are restarted.", ("task",)
+    ),
     "suspended": LogEvent(
-        "The machine stood still for so long; what others rely on is asked anew.", ("seconds",)
+        "The machine was suspended for `seconds`; watched state is read again and the lease"
+        " renewed.",
+        ("seconds",),
+    ),
+    "log_lines_dropped": LogEvent(
+        "`count` log lines were dropped because the buffer was full.", ("count",)
     ),
-    "log_lines_dropped": LogEvent("So many lines did not fit the buffer.", ("count",)),
     # --- the store
-    "store_lost": LogEvent("The store stopped answering this process.", ("error",)),
-    "store_regained": LogEvent("The store answers again; watches are asked anew."),
+    "store_lost": LogEvent("The store stopped responding to this process.", ("error",)),
+    "store_regained": LogEvent("The store responds again; watches are restarted."),
     "store_through_peers": LogEvent(
-        "The store does not serve this process; a peer makes its calls.", ("peer",)
+        "The store does not respond to this process; calls go through a peer.", ("peer",)
     ),
-    "store_direct_again": LogEvent("The store serves this process again."),
+    "store_direct_again": LogEvent("The store responds to this process directly again."),
     "watcher_avoided": LogEvent(
-        "A process that watches the store for others, or relays, is not asked for a while.",
+        "A process that watches the store for others, or relays calls, is not asked for some time.",
         ("peer", "error"),
     ),
-    "presence_not_told": LogEvent("Telling peers the address failed.", ("error",)),
-    "follow_failed": LogEvent("A watch or range failed and is tried again.", ("prefix", "error")),
-    "history_compacted": LogEvent("The store dropped its history; read anew.", ("prefix",)),
+    "presence_not_told": LogEvent(
+        "Announcing the address of this process to its peers failed.", ("error",)
+    ),
+    "follow_failed": LogEvent(
+        "A watch or a range read failed and is retried.", ("prefix", "error")
+    ),
+    "history_compacted": LogEvent(
+        "The store has compacted its history; the prefix is read again.", ("prefix",)
+    ),
     "lease_won": LogEvent(
-        "This process has a new lease: a long one while idle, a short one once others rely on it.",
+        "This process has a new lease: a long one while it is idle, a short one while others"
+        " rely on it.",
         ("lease", "seconds"),
     ),
-    "lease_lost": LogEvent("The lease is over; its keys are gone.", ("lease",)),
-    "lease_not_ended": LogEvent("Giving the lease back failed; it runs out.", ("error",)),
+    "lease_lost": LogEvent("The lease has expired; its keys are removed.", ("lease",)),
+    "lease_not_ended": LogEvent("Ending the lease failed; it will expire.", ("error",)),
     # --- configuration and back ends
-    "configuration_taken": LogEvent("A newer configuration is in force here.", ("version",)),
+    "configuration_taken": LogEvent(
+        "This process has applied a newer configuration.", ("version",)
+    ),
     "configuration_malformed": LogEvent(
-        "The configuration can't be read; the last good one stays.", ("key", "detail")
+        "The configuration can't be decoded; the last valid one stays in force.", ("key", "detail")
+    ),
+    "version_malformed": LogEvent(
+        "A requested weight version can't be decoded and is skipped.", ("key", "detail")
+    ),
+    "back_end_malformed": LogEvent(
+        "The entry of a back end can't be decoded and is skipped.", ("key", "detail")
     ),
-    "version_malformed": LogEvent("A named version can't be read; skipped.", ("key", "detail")),
-    "back_end_malformed": LogEvent("A back end's entry can't be read; skipped.", ("key", "detail")),
     "back_ends_read": LogEvent("All back ends were read for the first time.", ("count",)),
-    "back_end_in": LogEvent("Discovery shows a new back end.", ("back_end", "service")),
-    "back_end_leaving": LogEvent("It is leaving: nothing new is sent there.", ("back_end",)),
+    "back_end_in": LogEvent("A new back end appeared in discovery.", ("back_end", "service")),
+    "back_end_leaving": LogEvent("A back end is leaving; it gets no new requests.", ("back_end",)),
     "back_end_cold": LogEvent(
-        "It says that it is cold: few processes send there, and little.", ("back_end", "seconds")
+        "A back end reports that it is cold; few processes send to it, at a limited rate.",
+        ("back_end", "seconds"),
     ),
     "zone_evacuated": LogEvent(
-        "The operator wants nothing new sent to the back ends of a zone.", ("zone",)
+        "By order of the operator, the back ends of a zone get no new work.", ("zone",)
+    ),
+    "zone_taken_back": LogEvent(
+        "The evacuation of a zone was revoked; its back ends accept new work again.", ("zone",)
     ),
-    "zone_taken_back": LogEvent("The zone's back ends take new work again.", ("zone",)),
-    "back_end_out": LogEvent("It is gone from discovery.", ("back_end",)),
+    "back_end_out": LogEvent("A back end was removed from discovery.", ("back_end",)),
     "back_end_ended": LogEvent(
-        "It ended without having said so; `running` requests of this process were there.",
+        "A back end ended unannounced; it had `running` requests of this process.",
         ("back_end", "service", "evidence", "running"),
     ),
-    "machine_retired": LogEvent("Told the operator that a machine is empty.", ("machine",)),
-    "retirement_failed": LogEvent("Telling so failed and is tried again.", ("error",)),
+    "machine_retired": LogEvent("The operator was notified that a machine is empty.", ("machine",)),
+    "retirement_failed": LogEvent(
+        "Notifying the operator of an empty machine failed and is retried.", ("error",)
+    ),
     # --- requests
     "request_answered": LogEvent(
-        "A back end's answer goes to the caller.",
+        "The answer of a back end is returned to the caller.",
         _FORWARDED,
     ),
     "request_given_up": LogEvent(
-        "No back end answered; `reasons` has one line an attempt, `ended` the back ends that ended"
-        " under it, `fingerprint` what is alike when it comes again.",
+        "No back end answered; `reasons` has one text per attempt, `ended` lists the back ends"
+        " that ended during the request, `fingerprint` identifies the request if it is sent"
+        " again.",
         _FORWARDED,
     ),
-    "request_hedged": LogEvent("A second attempt, as the first is slow.", ("request", "slow")),
+    "request_hedged": LogEvent(
+        "A second attempt was started because the first one is slow.", ("request", "slow")
+    ),
     "request_refused": LogEvent(
-        "The process answered by itself.", ("request", "status", "problem", "detail")
+        "The process answered a request itself with an error.",
+        ("request", "status", "problem", "detail"),
     ),
     "request_held": LogEvent(
-        "Back ends ended under this request before; it is sent to nobody for so long.",
+        "Back ends ended during earlier attempts of this request; it is held back for `seconds`.",
         ("request", "fingerprint", "ended", "probes", "seconds"),
     ),
     "item_held": LogEvent(
-        "The same for an item or its scoring request; it waits.",
+        "Back ends ended during earlier attempts of an item or of its scoring request; it waits.",
         ("item", "fingerprint", "ended", "probes"),
     ),
     "suspect_stored": LogEvent(
-        "Back ends ended under a request: all processes know it now.",
+        "Back ends ended during a request; the suspect is now known to all processes.",
         ("fingerprint", "route", "tenant", "ended", "probes"),
     ),
     "suspect_not_stored": LogEvent(
-        "The store did not take a suspect; peers are told, and it is tried again.",
+        "Storing a suspect failed; peers are notified directly and the write is retried.",
         ("fingerprint", "error"),
     ),
     "suspect_probed": LogEvent(
@@ -125,161 +158,187 @@
         ("request", "fingerprint", "probes", "ended"),
     ),
     "suspect_released": LogEvent(
-        "A request is no suspect any more: a back end answered it, its time is over, or an"
-        " operator says so.",
+        "A request is no longer a suspect: a back end answered it, its hold expired, or an"
+        " operator released it.",
         ("fingerprint", "cause"),
     ),
     "suspect_not_removed": LogEvent(
-        "Removing a suspect from the store failed; tried again.", ("fingerprint", "error")
+        "Removing a suspect from the store failed and is retried.", ("fingerprint", "error")
+    ),
+    "suspect_malformed": LogEvent(
+        "The entry of a suspect can't be decoded and is skipped.", ("key", "detail")
     ),
-    "suspect_malformed": LogEvent("A suspect's entry can't be read; skipped.", ("key", "detail")),
-    "peer_not_told": LogEvent("A process could not be told of suspects.", ("peer", "error")),
-    "stream_broken": LogEvent("A stream was cut in the middle.", ("request", "reason")),
+    "peer_not_told": LogEvent("Notifying a process of suspects failed.", ("peer", "error")),
+    "stream_broken": LogEvent("A stream broke off before its end.", ("request", "reason")),
     # --- jobs
     "job_accepted": LogEvent(
-        "A job lasts from now on; `again`: it did before; `owned`: it runs here, not elsewhere.",
+        "A job was accepted and is durable; `again`: it had been accepted before; `owned`: this"
+        " process runs it.",
         ("job", "tenant", "step", "items", "min_version", "again", "owned"),
     ),
     "job_run_ahead": LogEvent(
-        "Its acceptance takes long: it runs already, and nothing is listed.", ("job",)
+        "Storing a job takes long; it is run already, but no results are listed until it is"
+        " accepted.",
+        ("job",),
     ),
     "results_not_read": LogEvent(
-        "Reading what a former owner may have listed failed; tried again.", ("job", "error")
+        "Reading the results that a former owner may have listed failed and is retried.",
+        ("job", "error"),
     ),
     "job_taken_over": LogEvent(
-        "This process runs a job that another one began.", ("job", "chunks", "kept")
+        "This process runs a job that another process began.", ("job", "chunks", "kept")
+    ),
+    "job_lost": LogEvent("Another process has taken over this job.", ("job", "owner")),
+    "job_done": LogEvent("All items of a job are listed.", ("job", "results")),
+    "job_ended": LogEvent("A caller ended a job.", ("job",)),
+    "paces_malformed": LogEvent(
+        "The sampler paces received from a process can't be decoded.", ("key",)
+    ),
+    "paces_not_told": LogEvent(
+        "Sending the sampler paces to other processes failed and is retried.", ("error",)
     ),
-    "job_lost": LogEvent("Another process runs this job now.", ("job", "owner")),
-    "job_done": LogEvent("All items are listed.", ("job", "results")),
-    "job_ended": LogEvent("A caller ended the job.", ("job",)),
-    "paces_malformed": LogEvent("A process told paces that can't be read.", ("key",)),
-    "paces_not_told": LogEvent("Telling the samplers' paces failed; tried again.", ("error",)),
     "texts_carried": LogEvent(
-        "Texts of earlier jobs are used for items that come again.", ("job", "finished", "partial")
+        "Texts of earlier jobs are reused for items that occur again.",
+        ("job", "finished", "partial"),
     ),
     "job_handed_over": LogEvent(
-        "A submission was handed to the process that suits the job.", ("job", "peer", "outcome")
+        "A submission was passed to the process that is best suited to run the job.",
+        ("job", "peer", "outcome"),
     ),
-    "job_removed": LogEvent("An ended job was removed, after its time.", ("job",)),
-    "job_not_removed": LogEvent("Removing an ended job failed; tried again.", ("job", "error")),
+    "job_removed": LogEvent("An ended job was removed after its retention period.", ("job",)),
+    "job_not_removed": LogEvent("Removing an ended job failed and is retried.", ("job", "error")),
     "results_listed": LogEvent(
-        "Results have their positions for ever.", ("job", "chunk", "first_position", "items")
+        "Results were listed; their positions are now final.",
+        ("job", "chunk", "first_position", "items"),
     ),
     "results_conflict": LogEvent("Another process listed this chunk first.", ("job", "chunk")),
-    "results_not_listed": LogEvent("Listing failed and is tried again.", ("job", "error")),
-    "progress_not_saved": LogEvent("Texts of running items were not kept.", ("job", "error")),
-    "wait_for_results_failed": LogEvent("A reader's wait ended early.", ("job",)),
+    "results_not_listed": LogEvent("Listing results failed and is retried.", ("job", "error")),
+    "progress_not_saved": LogEvent("Saving the texts of running items failed.", ("job", "error")),
+    "wait_for_results_failed": LogEvent(
+        "A reader's wait for results failed; it gets what was read before.", ("job",)
+    ),
     "item_sent": LogEvent(
-        "An attempt at a sampler; `reason` tells its load.",
+        "An item was sent to a sampler; `reason` states the load of the sampler.",
         ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
     "item_done": LogEvent(
-        "All events are there.", ("job", "item", "back_end", "reason", "events", "seconds")
+        "All events of an item have arrived.",
+        ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
     "item_turned_away": LogEvent(
-        "The sampler did not run it.", ("job", "item", "back_end", "reason", "events", "seconds")
+        "The sampler rejected an item without running it.",
+        ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
     "item_broken": LogEvent(
-        "The attempt broke; it goes on after `events`.",
+        "An attempt broke; the item is resumed after `events`.",
         ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
     "item_moved": LogEvent(
-        "It leaves a slow sampler.", ("job", "item", "back_end", "reason", "events", "seconds")
+        "An item is moved away from a slow sampler.",
+        ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
     "item_failed": LogEvent(
-        "The sampler ran it and failed.",
+        "The sampler ran an item and reported a failure.",
         ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
     "item_impossible": LogEvent(
-        "The sampler says it can never be done.",
+        "The sampler reports that an item can never be completed.",
         ("job", "item", "back_end", "reason", "events", "seconds"),
     ),
-    "item_given_up": LogEvent("It waited longer than its route allows.", ("job", "item")),
-    "item_task_failed": LogEvent("A fault of the program; the item starts again.", ("job", "item")),
+    "item_given_up": LogEvent("An item waited longer than its route allows.", ("job", "item")),
+    "item_task_failed": LogEvent(
+        "The program failed with an internal error; the item is restarted.", ("job", "item")
+    ),
     # --- scores of items
     "scoring_sent": LogEvent(
-        "The text is whole; a back end is asked for its score.",
+        "The text of an item is complete; a back end is asked for its score.",
         ("job", "item", "request", "back_end", "reason", "seconds"),
     ),
     "scoring_done": LogEvent(
-        "The score is there; `reason` is its signature.",
+        "The score of an item has arrived; `reason` is its signature.",
         ("job", "item", "request", "back_end", "reason", "seconds"),
     ),
     "scoring_turned_away": LogEvent(
-        "The back end did not run the scoring request.",
+        "The back end rejected a scoring request without running it.",
         ("job", "item", "request", "back_end", "reason", "seconds"),
     ),
     "scoring_broken": LogEvent(
-        "No whole answer of its own; the request is repeated.",
+        "A scoring request got no complete, matching answer; it is repeated.",
         ("job", "item", "request", "back_end", "reason", "seconds"),
     ),
     "scoring_failed": LogEvent(
-        "The back end ran the scoring request and failed.",
+        "The back end ran a scoring request and reported a failure.",
         ("job", "item", "request", "back_end", "reason", "seconds"),
     ),
     "scoring_given_up": LogEvent(
-        "It failed as often as the routes allow; the item is lost.",
+        "Scoring failed as often as the routes allow; the item has failed.",
         ("job", "item", "request", "back_end", "reason", "seconds"),
     ),
     # --- orders
-    "version_named": LogEvent("A trainer named a version.", ("model", "version")),
+    "version_named": LogEvent("A trainer requested a weight version.", ("model", "version")),
     "clock_jumped": LogEvent(
-        "The machine's time of day jumped; windows go on by the steady clock.", ("by_s",)
+        "The machine's wall clock jumped; usage windows continue by the monotonic clock.", ("by_s",)
     ),
     "clock_believed": LogEvent(
-        "The time of day stayed where it jumped to; it is taken as true from now on.", ("by_s",)
+        "The wall clock stayed at the time it jumped to, which is accepted from now on.", ("by_s",)
     ),
     "usage_not_told": LogEvent(
-        "The holder of the usage duty did not take this process's counts; tried again.",
+        "The holder of the usage duty did not accept the counts of this process; sending is"
+        " retried.",
         ("peer", "error"),
     ),
     "usage_lost": LogEvent(
-        "Requests that no report counts, and why.", ("window", "requests", "cause")
+        "Requests are missing from all usage reports; `cause` states why.",
+        ("window", "requests", "cause"),
     ),
-    "usage_not_saved": LogEvent("Keeping the usage ledger failed; tried again.", ("error",)),
+    "usage_not_saved": LogEvent("Saving the usage ledger failed and is retried.", ("error",)),
     "usage_ledger_malformed": LogEvent(
-        "The kept ledger can't be read; it begins anew.", ("error",)
+        "The stored usage ledger can't be decoded; a new one is started.", ("error",)
     ),
     "usage_settled": LogEvent(
-        "Counts of `windows` more windows are final: all before `next_window` are.",
+        "The counts of `windows` more windows are final: all windows before `next_window` are.",
         ("next_window", "windows", "fence"),
     ),
     "usage_reported": LogEvent(
-        "A window's report was taken, so long after the window ended.",
+        "The usage report of a window was accepted, `age_s` seconds after the window ended.",
         ("window", "tenants", "requests", "fence", "age_s"),
     ),
     "usage_not_reported": LogEvent(
-        "A report was not taken, and is repeated unchanged.", ("window", "fence", "reason")
+        "A usage report was not accepted and is repeated unchanged.", ("window", "fence", "reason")
     ),
     "samplers_ordered": LogEvent(
-        "A zone is to hold so many samplers of a kind; `outcome` is what became of the order.",
+        "An order to have `count` samplers of a kind in a zone was given; `outcome` is its result.",
         ("service", "zone", "kind", "count", "reason", "fence", "outcome"),
     ),
     "duty_won": LogEvent(
-        "This process holds a duty and acts after `pause` seconds.", ("duty", "fence", "pause")
+        "This process holds a duty and acts on it after `pause` seconds.",
+        ("duty", "fence", "pause"),
     ),
-    "duty_not_won": LogEvent("Trying for a duty failed.", ("duty", "error")),
+    "duty_not_won": LogEvent("An attempt to acquire a duty failed.", ("duty", "error")),
     "version_ordered": LogEvent(
-        "A sampler was ordered to load.", ("back_end", "model", "version", "fence", "sequence")
+        "A sampler was ordered to load a weight version.",
+        ("back_end", "model", "version", "fence", "sequence"),
     ),
     "samplers_shared": LogEvent(
-        "The samplers of a service are shared anew between its models, by the work of their items.",
+        "The samplers of a service were redistributed among its models by the work of their items.",
         ("service", "shares"),
     ),
-    "version_loaded": LogEvent("A sampler reports the version.", ("back_end", "model", "version")),
+    "version_loaded": LogEvent(
+        "A sampler reports that it has loaded the version.", ("back_end", "model", "version")
+    ),
     "order_failed": LogEvent(
-        "An order failed and is tried again.", ("back_end", "model", "version", "error")
+        "An order to a sampler failed and is retried.", ("back_end", "model", "version", "error")
     ),
 }
 
 
-def as_page() -> str:
-    """The catalogue as a page of documentation."""
+def as_markdown() -> str:
+    """Return the catalogue as a Markdown page."""
     lines = [
         "# Log events",
         "",
         "JSON lines on standard output. Every line has `time`, `node`, `level` and `event`.",
-        "Written from `src/crankseam/serving/log_events.py`; a test keeps them alike.",
+        "Generated from `src/crankseam/serving/log_events.py`; a test checks that they agree.",
         "",
         "| event | meaning | fields |",
         "|---|---|---|",
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -1,4 +1,4 @@
-"""Each line in the code is in the catalogue, with its fields; the page says the same."""
+"""The catalogue of log events agrees with the log calls in the code and with docs/LOGS.md."""
 
 import ast
 import json
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crankseam.serving.log_events import EVENTS, as_page
+from crankseam.serving.log_events import EVENTS, as_markdown
 from crankseam.serving.logs import MAX_BUFFERED_LINES, JsonLineHandler
 from crankseam.serving.metrics import ProcessMetrics
 
@@ -33,7 +33,7 @@
 
 
 def logged_lines(file):
-    """(event, fields) of each call of a logger in a file."""
+    """Yield the event and the fields of each logger call in a file."""
     for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
             continue
@@ -69,7 +69,7 @@
 
 
 def test_the_page_is_written_from_the_catalogue():
-    assert (ROOT / "docs/LOGS.md").read_text(encoding="utf-8") == as_page()
+    assert (ROOT / "docs/LOGS.md").read_text(encoding="utf-8") == as_markdown()
 
 
 def logger_with(handler):
