--- a/src/crankseam/serving/log_events.py
+++ b/src/crankseam/serving/log_events.py
@@ -18,7 +18,7 @@
     fields: tuple[str, ...] = ()
 
 
-_FORWARDED = (
+_FORWARDING_FIELDS = (
     "request",
     "route",
     "service",
@@ -122,13 +122,13 @@
     # --- requests
     "request_answered": LogEvent(
         "The answer of a back end is returned to the caller.",
-        _FORWARDED,
+        _FORWARDING_FIELDS,
     ),
     "request_given_up": LogEvent(
         "No back end answered; `reasons` has one text per attempt, `ended` lists the back ends"
         " that ended during the request, `fingerprint` identifies the request if it is sent"
         " again.",
-        _FORWARDED,
+        _FORWARDING_FIELDS,
     ),
     "request_hedged": LogEvent(
         "A second attempt was started because the first one is slow.", ("request", "slow")
--- a/src/crankseam/serving/logs.py
+++ b/src/crankseam/serving/logs.py
@@ -114,7 +114,9 @@
 def dropped_log_lines() -> int:
     """Return the number of log lines that this process has dropped since it started."""
     handlers = logging.getLogger().handlers
-    return sum(one.dropped_total for one in handlers if isinstance(one, JsonLineHandler))
+    return sum(
+        handler.dropped_total for handler in handlers if isinstance(handler, JsonLineHandler)
+    )
 
 
 def set_log_level(level: str) -> None:
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -25,7 +25,7 @@
 ]
 FILES = [file for folder in FOLDERS for file in folder.glob("*.py")]
 FILES.append(ROOT / "src/crankseam/machine_retirement.py")
-INDIRECT = {
+INDIRECT_CALL_FIELDS = {
     "item_run.py": {"job", "item", "back_end", "reason", "events", "seconds"},
     "scoring.py": {"job", "item", "request", "back_end", "reason", "seconds"},
 }
@@ -47,7 +47,7 @@
             for constant in ast.walk(node.args[0])
             if isinstance(constant, ast.Constant) and isinstance(constant.value, str)
         ]
-        fields = set(INDIRECT[file.name]) if indirect else set()
+        fields = set(INDIRECT_CALL_FIELDS[file.name]) if indirect else set()
         for keyword in node.keywords:
             if keyword.arg == "extra":
                 fields = {key.value for key in keyword.value.keys}
@@ -78,7 +78,7 @@
     return logger
 
 
-def test_lines_are_json_and_a_reader_that_stands_still_stops_nobody():
+def test_lines_are_json_and_a_stalled_reader_does_not_block_logging():
     reader, writer = os.pipe()
     handler = JsonLineHandler("n", writer)
     logger = logger_with(handler)
