--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -161,7 +161,7 @@
     def __init__(self) -> None:
         self._by_id: dict[str, BackEnd] = {}
         self._by_service: dict[str, dict[str, BackEnd]] = {}
-        self._evacuated: set[str] = set()
+        self._evacuated_zones: set[str] = set()
         self.on_change: list[Callable[[], None]] = []
         self.cold_share: Callable[[str, str], int | None] = lambda _id, _service: int(
             DEFAULT_COLD_PER_S
@@ -192,7 +192,7 @@
                 log.info("back_end_leaving", extra={"back_end": record.id})
             back_end.record = record
         self._update_cold_start(back_end, record.cold_left_s)
-        self._changed()
+        self._notify_change()
 
     @staticmethod
     def _update_cold_start(back_end: BackEnd, remaining_s: float) -> None:
@@ -216,29 +216,29 @@
         if gone is not None:
             del self._by_service[gone.record.service][back_end_id]
             log.info("back_end_out", extra={"back_end": back_end_id})
-            self._changed()
+            self._notify_change()
 
     def evacuate(self, zone: str) -> None:
         """Send no new work to the back ends of a zone, as ordered by the operator.
 
         Requests that are already running there continue.
         """
-        if zone not in self._evacuated:
-            self._evacuated.add(zone)
+        if zone not in self._evacuated_zones:
+            self._evacuated_zones.add(zone)
             log.info("zone_evacuated", extra={"zone": zone})
-            self._changed()
+            self._notify_change()
 
     def take_back(self, zone: str) -> None:
         """Revoke the evacuation of a zone, as ordered by the operator."""
-        if zone in self._evacuated:
-            self._evacuated.remove(zone)
+        if zone in self._evacuated_zones:
+            self._evacuated_zones.remove(zone)
             log.info("zone_taken_back", extra={"zone": zone})
-            self._changed()
+            self._notify_change()
 
-    def _takes_new_work(self, back_end: BackEnd) -> bool:
-        return not back_end.record.leaving and back_end.record.zone not in self._evacuated
+    def _accepts_new_work(self, back_end: BackEnd) -> bool:
+        return not back_end.record.leaving and back_end.record.zone not in self._evacuated_zones
 
-    def _changed(self) -> None:
+    def _notify_change(self) -> None:
         for notify in self.on_change:
             notify()
 
@@ -252,7 +252,7 @@
 
     def is_current(self, back_end: BackEnd) -> bool:
         """Whether this incarnation is still in discovery and accepts new work."""
-        return self.is_known(back_end) and self._takes_new_work(back_end)
+        return self.is_known(back_end) and self._accepts_new_work(back_end)
 
     def is_known(self, back_end: BackEnd) -> bool:
         """Whether this incarnation is still in discovery, even if it is leaving."""
@@ -268,7 +268,9 @@
 
     def of_service(self, service: str) -> list[BackEnd]:
         """Return the back ends of a service that accept new work."""
-        return [back_end for back_end in self.staying_of(service) if self._takes_new_work(back_end)]
+        return [
+            back_end for back_end in self.staying_of(service) if self._accepts_new_work(back_end)
+        ]
 
     def staying_of(self, service: str) -> list[BackEnd]:
         """Return the back ends of a service that are not leaving, including evacuated zones."""
