--- a/src/crankseam/serving/cold_starts.py
+++ b/src/crankseam/serving/cold_starts.py
@@ -67,7 +67,7 @@
     """
     candidates = set(processes) or {process}
     count = max(1, min(MAX_SENDERS, len(candidates), int(capacity_per_s)))
-    senders = heapq.nsmallest(count, candidates, key=lambda one: _rank(back_end, one))
+    senders = heapq.nsmallest(count, candidates, key=lambda name: _rank(back_end, name))
     return max(1, int(capacity_per_s / count)) if process in senders else 0
 
 
--- a/src/crankseam/serving/settings_watch.py
+++ b/src/crankseam/serving/settings_watch.py
@@ -54,7 +54,9 @@
         try:
             settings = load_settings(self._file)
         except InvalidConfiguration as group:
-            log.error("reload_refused", extra={"errors": [str(one) for one in group.exceptions]})
+            log.error(
+                "reload_refused", extra={"errors": [str(error) for error in group.exceptions]}
+            )
             return
         self._on_change(settings)
         log.info("reloaded")
--- a/tests/serving/test_cold_starts.py
+++ b/tests/serving/test_cold_starts.py
@@ -26,14 +26,16 @@
 
 
 @given(PROCESSES, CAPACITIES_PER_S)
-def test_the_parts_of_all_processes_are_no_more_than_is_borne(processes, capacity_per_s):
+def test_the_limits_of_all_processes_do_not_exceed_the_capacity(processes, capacity_per_s):
     parts = [process_limit_per_s(capacity_per_s, "b", name, processes) for name in processes]
     assert 0 < sum(parts) <= capacity_per_s
     assert sum(part > 0 for part in parts) <= MAX_SENDERS
 
 
 @given(PROCESSES, CAPACITIES_PER_S, st.data())
-def test_a_process_that_some_do_not_know_yet_adds_one_part_at_most(processes, capacity_per_s, data):
+def test_a_process_that_some_do_not_know_yet_adds_at_most_one_limit(
+    processes, capacity_per_s, data
+):
     newcomer = data.draw(st.sampled_from(sorted(processes)))
     before = processes - {newcomer}
     known_to = {name: data.draw(st.booleans(), label=name) for name in sorted(before)}
@@ -44,7 +46,7 @@
 
 
 @given(st.lists(st.floats(0.0, 3.0), max_size=60), st.integers(1, 12))
-def test_no_second_sees_more_than_the_part(times, limit):
+def test_no_window_contains_more_requests_than_the_limit(times, limit):
     cold = ColdStart()
     cold.set_remaining(10.0, 0.0)
     sent = []
@@ -74,7 +76,7 @@
     assert shares.most_per_s("b", "service") == limit
 
 
-async def test_items_and_moves_keep_to_the_part_and_go_elsewhere():
+async def test_items_and_moves_respect_the_limit_and_go_elsewhere():
     registry = BackEndRegistry()
     registry.cold_share = lambda back_end, service: 2
     registry.update(BackEndRecord("cold", "s", "a:1", "z", 40, cold_left_s=60.0))
--- a/tests/serving/test_ended_back_ends.py
+++ b/tests/serving/test_ended_back_ends.py
@@ -29,7 +29,7 @@
     return registry
 
 
-async def test_one_that_refuses_connections_has_ended_and_is_looked_at_once(registry):
+async def test_one_that_refuses_connections_has_ended_and_is_probed_once(registry):
     probe = ScriptedProbe(refuses=True)
     ended_back_ends = EndedBackEnds(registry, probe)
     back_end = registry.by_id("b1")
@@ -41,7 +41,7 @@
     assert probe.calls == 1
 
 
-async def test_one_that_takes_connections_has_not_ended_and_is_looked_at_anew(registry):
+async def test_one_that_accepts_connections_has_not_ended_and_is_probed_again(registry):
     probe = ScriptedProbe(refuses=False)
     ended_back_ends = EndedBackEnds(registry, probe)
     assert not await ended_back_ends.has_ended(registry.by_id("b1"))
@@ -68,7 +68,7 @@
     assert await ended_back_ends.has_ended(back_end)
 
 
-async def test_a_request_that_is_given_up_meanwhile_stops_no_look_of_others(registry):
+async def test_a_cancelled_request_does_not_cancel_the_probe_of_others(registry):
     ended_back_ends = EndedBackEnds(registry, ScriptedProbe(refuses=True))
     back_end = registry.by_id("b1")
     first = asyncio.create_task(ended_back_ends.has_ended(back_end))
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("key", ["", "x" * (MAX_KEY_BYTES + 1)])
-def test_a_key_that_is_none_is_refused_where_it_is_set_and_known_nowhere(key):
+def test_an_empty_or_too_long_key_is_refused_when_set_and_never_known(key):
     with pytest.raises(TenantsInvalid):
         TenantDirectory.of([(Tenant("a"), [key])])
     assert TenantDirectory().find_by_key(key) is None
