--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -20,8 +20,7 @@
 LOAD_REPORT_MAX_AGE_S = 1.5
 """Seconds after which a reported load is ignored as stale."""
 AVOID_BASE_S = 0.4
-"""Seconds for which a back end is avoided after its first failure; doubles with each further
-one."""
+"""Seconds for which a back end is avoided after one failure; doubles with each consecutive one."""
 AVOID_CAP_S = 3.0
 """Longest time, in seconds, for which a back end is avoided after consecutive failures."""
 REJECTED_AVOID_S = 0.05
--- a/src/crankseam/serving/paces.py
+++ b/src/crankseam/serving/paces.py
@@ -28,7 +28,8 @@
 """Seconds after which an observation is discarded. It need not be longer, since jobs of one model
 reach the same process every few seconds."""
 MIN_INTERVAL_S = 0.005
-"""Lower limit of recorded intervals, in seconds: differences between shorter ones are noise."""
+"""Lower limit of recorded intervals, in seconds: a sampler with shorter intervals is never slow,
+and the differences between them are noise."""
 PACE_CLASS_WIDTH = 0.15
 """Relative width of a pace class: samplers whose paces differ by less than this fraction are
 treated as equally fast when the fastest samplers are selected for long items."""
--- a/src/crankseam/serving/routes.py
+++ b/src/crankseam/serving/routes.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Share of a route's requests that is sent to one service, relative to the other weights."""
+    """A service of a route, and the weight that determines its share of the route's requests."""
 
     service: str
     weight: float
--- a/src/crankseam/serving/settings.py
+++ b/src/crankseam/serving/settings.py
@@ -23,14 +23,14 @@
     callers: str = ""
     """Accepts the connections of callers."""
     readiness: str = ""
-    """Answers the load balancer in front, which asks whether this process accepts connections."""
+    """Answers the load balancer in front, which asks whether new connections are accepted."""
     metrics: str = ""
     peers: str = ""
     """Accepts the connections of other processes of the deployment."""
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Time limits that the deployment sets; in seconds unless the name says otherwise."""
+    """Limits that the deployment sets; times are in seconds unless the name says otherwise."""
 
     drain_milliseconds: float = 2000.0
     """Time after a back end's departure is acknowledged during which requests may still reach it.
--- a/src/crankseam/serving/suspension.py
+++ b/src/crankseam/serving/suspension.py
@@ -24,8 +24,8 @@
 CHECK_INTERVAL_S = 0.1
 """Seconds between two background checks. In addition, every request makes a check."""
 MIN_SUSPENSION_S = 0.1
-"""Seconds. If the difference between the clocks grows by at least this much between two checks, the
-machine was suspended."""
+"""Smallest growth of the difference between the clocks, in seconds, that indicates a suspension.
+The clocks drift apart by this much between two checks only while the machine is suspended."""
 CONFIRMATION_TIMEOUT_S = 0.3
 """Longest time, in seconds, for which a request waits for the first confirmation after a
 suspension: ten times the response time of an available store. The wait is bounded because an
--- a/src/crankseam/serving/tenants.py
+++ b/src/crankseam/serving/tenants.py
@@ -1,6 +1,6 @@
 """Tenants, and the lookup of a request's tenant by the API key that the caller presents.
 
-Keys are stored only as digests, so that no log line, output or memory dump contains a key.
+Keys are stored only as digests, so that nothing that is logged, displayed or dumped contains a key.
 """
 
 from __future__ import annotations
