--- a/src/crankseam/serving/choice.py
+++ b/src/crankseam/serving/choice.py
@@ -1,14 +1,17 @@
-"""Which back end gets a request?
+"""Selects the back end that receives a request.
 
-Inputs: the service's back ends that take new work, as discovery last told; requests of this
-process in flight there, exact; their own load reports, in requests, believed for
-`back_ends.LOAD_REPORT_S`; until when each is avoided, in monotonic seconds.
-Rule: A back end that was tried for this request is left out. One that is avoided, since it failed,
-ended or rejected a request lately, is taken only if there is no other. Of the rest the one with the
-least load per slot wins, then one in the caller's zone, then a random tie-break.
-Protects: callers from back ends that fail, busy back ends from more work, and links between zones.
-Shown by: `attempts` of `request_answered` and `request_given_up`.
-Held by: tests/serving/test_choice.py.
+Inputs: the back ends of the service that accept new work, from the newest discovery data; the exact
+number of requests that this process has in flight at each; the load that each back end last
+reported, in requests, used for `back_ends.LOAD_REPORT_MAX_AGE_S` seconds; the monotonic time, in
+seconds, until which each back end is avoided.
+Rule: A back end that was already tried for this request is excluded. A back end that is avoided,
+because it recently failed, terminated or rejected a request, is selected only if there is no other.
+Among the rest the one with the lowest load per slot is selected; a tie is broken first in favor of
+the caller's zone, then at random.
+Purpose: Keeps callers away from failing back ends, further work away from busy back ends, and
+traffic off the links between zones.
+Logged as: `attempts` of `request_answered` and `request_given_up`.
+Tested by: tests/serving/test_choice.py.
 """
 
 from __future__ import annotations
@@ -19,13 +22,13 @@
 
 from crankseam.serving.back_ends import BackEnd
 
-LOAD_DIGITS = 2
-"""Digits after the point of the load per slot, in requests, by which back ends are told apart.
-Origin not recorded; some rounding is needed for the zone to decide between equals."""
+LOAD_DECIMALS = 2
+"""Decimal places to which the load per slot, in requests, is rounded before back ends are compared.
+Without rounding, loads would rarely be equal and the zone would never decide."""
 
 
 class _Cost(NamedTuple):
-    """Orders back ends; the smallest is chosen, the first field that differs decides."""
+    """Sort key of a back end: the lowest one is selected, and earlier fields take precedence."""
 
     is_avoided: bool
     load_per_slot: float
@@ -33,35 +36,35 @@
     tie_break: float
 
 
-def choose(
+def choose_back_end(
     candidates: Iterable[BackEnd],
     zone: str,
     now: float,
     excluded: Iterable[str] = (),
     generator: random.Random | None = None,
 ) -> BackEnd | None:
-    """The back end that gets the next request; None if all are excluded.
+    """Return the back end for the next request; None if all candidates are excluded.
 
     Parameters
     ==========
 
-    zone : the caller's zone, preferred between equals.
+    zone : zone of the caller, preferred when loads are equal.
     now : monotonic time, in seconds.
-    excluded : ids that were tried already.
-    generator : draws the tie-breaks; for tests.
+    excluded : ids of back ends that were already tried.
+    generator : source of the random tie-breaks; set by tests.
     """
-    draw = generator or random
-    left = [one for one in candidates if one.record.id not in excluded]
-    if not left:
+    random_source = generator or random
+    remaining = [candidate for candidate in candidates if candidate.record.id not in excluded]
+    if not remaining:
         return None
-    return min(left, key=lambda back_end: _cost(back_end, zone, now, draw.random()))
+    return min(remaining, key=lambda back_end: _cost(back_end, zone, now, random_source.random()))
 
 
 def _cost(back_end: BackEnd, zone: str, now: float, tie_break: float) -> _Cost:
     load = back_end.expected_load(now) / max(1, back_end.record.slots)
     return _Cost(
         is_avoided=back_end.avoid_until > now,
-        load_per_slot=round(load, LOAD_DIGITS),
+        load_per_slot=round(load, LOAD_DECIMALS),
         is_in_other_zone=back_end.record.zone != zone,
         tie_break=tie_break,
     )
--- a/tests/serving/test_log_events.py
+++ b/tests/serving/test_log_events.py
@@ -1,4 +1,4 @@
-"""Each line in the code is in the catalogue, with its fields; the page says the same."""
+"""The catalogue of log events agrees with the log calls in the code and with docs/LOGS.md."""
 
 import ast
 import json
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crankseam.serving.log_events import EVENTS, as_page
+from crankseam.serving.log_events import EVENTS, as_markdown
 from crankseam.serving.logs import MAX_BUFFERED_LINES, JsonLineHandler
 from crankseam.serving.metrics import ProcessMetrics
 
@@ -25,7 +25,7 @@
 ]
 FILES = [file for folder in FOLDERS for file in folder.glob("*.py")]
 FILES.append(ROOT / "src/crankseam/machine_retirement.py")
-INDIRECT = {
+INDIRECT_CALL_FIELDS = {
     "item_run.py": {"job", "item", "back_end", "reason", "events", "seconds"},
     "scoring.py": {"job", "item", "request", "back_end", "reason", "seconds"},
 }
@@ -33,7 +33,7 @@
 
 
 def logged_lines(file):
-    """(event, fields) of each call of a logger in a file."""
+    """Yield the event and the fields of each logger call in a file."""
     for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
             continue
@@ -47,7 +47,7 @@
             for constant in ast.walk(node.args[0])
             if isinstance(constant, ast.Constant) and isinstance(constant.value, str)
         ]
-        fields = set(INDIRECT[file.name]) if indirect else set()
+        fields = set(INDIRECT_CALL_FIELDS[file.name]) if indirect else set()
         for keyword in node.keywords:
             if keyword.arg == "extra":
                 fields = {key.value for key in keyword.value.keys}
@@ -69,7 +69,7 @@
 
 
 def test_the_page_is_written_from_the_catalogue():
-    assert (ROOT / "docs/LOGS.md").read_text(encoding="utf-8") == as_page()
+    assert (ROOT / "docs/LOGS.md").read_text(encoding="utf-8") == as_markdown()
 
 
 def logger_with(handler):
@@ -78,7 +78,7 @@
     return logger
 
 
-def test_lines_are_json_and_a_reader_that_stands_still_stops_nobody():
+def test_lines_are_json_and_a_stalled_reader_does_not_block_logging():
     reader, writer = os.pipe()
     handler = JsonLineHandler("n", writer)
     logger = logger_with(handler)
@@ -87,7 +87,7 @@
     assert (line["event"], line["job"], line["results"], line["node"]) == ("job_done", "j", 3, "n")
     for _ in range(MAX_BUFFERED_LINES + 3000):
         logger.info("job_done", extra={"job": "x" * 50, "results": 0})
-    assert handler.dropped_in_all > 0
+    assert handler.dropped_total > 0
     drained = b""
     while b"log_lines_dropped" not in drained:
         drained += os.read(reader, 65536)
--- a/tests/serving/test_settings_watch.py
+++ b/tests/serving/test_settings_watch.py
@@ -11,7 +11,7 @@
 async def test_a_silent_change_is_taken_up_and_a_bad_file_changes_nothing(
     tmp_path, monkeypatch, caplog
 ):
-    monkeypatch.setattr(settings_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(settings_watch, "POLL_INTERVAL_S", 0.01)
     caplog.set_level(logging.INFO)
     file = tmp_path / "settings.toml"
     file.write_text(GOOD.format("info"))
