--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -28,8 +28,8 @@
 answer; a call of the store is given up after 1 s."""
 UNCHECKED_S = 0.9
 """The same while a former owner's last listing may still take effect, since the last look: more
-than FORMER_OWNER_LOOK_S of take_over.py, so that one look in time keeps a runner certain. A
-choice."""
+than FORMER_OWNER_POLL_INTERVAL_S of take_over.py, so that one look in time keeps a runner
+certain. A choice."""
 RETRY_BASE_S = 0.05
 """First pause between two tries of a listing; see Backoff. Origin not recorded."""
 RETRY_CAP_S = 0.5
--- a/src/crankseam/jobs/take_over.py
+++ b/src/crankseam/jobs/take_over.py
@@ -15,13 +15,13 @@
 
 from crankseam.coordination.ranking import rank_by_capacity, turn_delay_s
 
-RECLAIM_S = 1.0
+MAX_CLAIM_RETRY_DELAY_S = 1.0
 """Longest pause between two tries to claim a job while the store does not answer; at least half of
 it, at random. Origin not recorded."""
-FORMER_OWNER_S = 8.0
+FORMER_OWNER_POLL_DURATION_S = 8.0
 """A write that got no answer may take effect so much later: for so long the new owner looks for
 results that the former one listed. Origin not recorded."""
-FORMER_OWNER_LOOK_S = 0.6
+FORMER_OWNER_POLL_INTERVAL_S = 0.6
 """Seconds between two such looks; below UNCHECKED_S of result_listing.py. Origin not recorded."""
 
 
