--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -30,11 +30,11 @@
     for name, process in processes.items():
         claim = process.jobs.claims._repository.claim
 
-        async def noted(job_id, lease, name=name, claim=claim):
+        async def recorded_claim(job_id, lease, name=name, claim=claim):
             claims.append(name)
             return await claim(job_id, lease)
 
-        process.jobs.claims._repository.claim = noted
+        process.jobs.claims._repository.claim = recorded_claim
     await owner.kill()
     store.expire_lease(owner.jobs.lease.number)
     await eventually(lambda: claims, "a claim")
@@ -45,7 +45,10 @@
 
 
 async def test_who_runs_open_jobs_is_known_to_all_until_its_key_goes(cluster):
-    """Those may send to a cold back end: chosen among all, most had nothing to send there."""
+    """Only owners of open jobs share the request rate of a cold back end.
+
+    When the rate was shared among all processes, most of them had nothing to send.
+    """
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
--- a/tests/jobs/test_take_over.py
+++ b/tests/jobs/test_take_over.py
@@ -1,4 +1,4 @@
-"""The rule of taking over by itself."""
+"""The take-over rule, tested without a store."""
 
 import pytest
 
@@ -15,7 +15,7 @@
         (True, b"me", True, False),
         (True, b"me", False, True),
     ],
-    ids=["ended", "no owner", "another process", "this process", "its earlier life"],
+    ids=["ended", "no owner", "another process", "this process", "its earlier incarnation"],
 )
 def test_a_job_needs_an_owner(is_open, owner, is_current, needs):
     assert needs_owner(is_open, owner, b"me", is_current) == needs
