--- a/src/crankseam/jobs/demand.py
+++ b/src/crankseam/jobs/demand.py
@@ -1,7 +1,7 @@
-"""What the open jobs of each model need: how many items run, and the oldest version that may.
+"""Tracks the demand of open jobs by model: number of items, their work, and the required version.
 
-Owns the most items that were open at one moment lately, by model, from the keys of open jobs, which
-all processes follow. Who orders weight versions and samplers relies on it.
+Keeps for each model the recent peak of concurrently open items, computed from the keys of open
+jobs, which all processes follow. The controllers that order weight versions and samplers use it.
 """
 
 from __future__ import annotations
@@ -11,23 +11,31 @@
 
 import msgspec
 
-REMEMBERED_S = 30.0
-"""A peak counts for so long: steps come each few seconds, and between them nothing is open."""
+PEAK_RETENTION_S = 30.0
+"""Seconds for which a peak counts. A training step comes every few seconds, and no item is open
+between two steps, so the current number alone would drop to zero."""
 
 
 class OpenJob(msgspec.Struct, frozen=True):
-    """What the key of an open job tells all processes."""
+    """The stored value of an open job's key, which all processes read.
+
+    Attributes
+    ==========
+
+    items : number of the job's items.
+    min_version : oldest weight version that may generate the job's tokens.
+    item_s : expected seconds for which an item occupies a sampler slot; 0 if unknown.
+    """
 
     model: str = ""
     items: int = 0
     min_version: int = 0
     item_s: float = 0.0
-    """How long an item is likely to hold a place at a sampler; 0 if that is not known."""
     tenant: str = ""
 
 
 def decode_open_job(value: bytes) -> OpenJob:
-    """The value of an open job's key; what can't be read tells nothing."""
+    """Decode the value of an open job's key; an unreadable value yields the defaults."""
     try:
         return msgspec.msgpack.decode(value, type=OpenJob)
     except msgspec.DecodeError:
@@ -35,54 +43,56 @@
 
 
 class ModelDemand:
-    """The most items that were open at one moment lately, by model."""
+    """The recent peak of concurrently open items and the needs of the newest jobs, by model."""
 
     def __init__(self) -> None:
-        self._open: dict[str, OpenJob] = {}
+        self._open_jobs: dict[str, OpenJob] = {}
         self._peaks: dict[str, tuple[int, float]] = {}
-        """Items and the monotonic time at which so many were open last."""
-        self._needed: dict[str, int] = {}
+        """Peak number of open items, and the monotonic time at which it was last reached."""
+        self._needed_versions: dict[str, int] = {}
         self._item_s: dict[str, float] = {}
-        """The newest word of how long an item holds a place, by model."""
+        """Expected seconds per item from the newest job that states them, by model."""
 
     def opened(self, job_id: str, job: OpenJob) -> None:
-        """A job is open."""
-        self._open[job_id] = job
-        self._needed[job.model] = max(self._needed.get(job.model, 0), job.min_version)
+        """Add an open job."""
+        self._open_jobs[job_id] = job
+        self._needed_versions[job.model] = max(
+            self._needed_versions.get(job.model, 0), job.min_version
+        )
         if job.item_s > 0.0:
             self._item_s[job.model] = job.item_s
-        self._note(job.model)
+        self._update_peak(job.model)
 
     def ended(self, job_id: str) -> None:
-        """A job is open no longer."""
-        job = self._open.get(job_id)
+        """Remove a job that is no longer open; an unknown job is ignored."""
+        job = self._open_jobs.get(job_id)
         if job is not None:
-            self._note(job.model)
-            del self._open[job_id]
+            self._update_peak(job.model)
+            del self._open_jobs[job_id]
 
-    def _note(self, model: str) -> None:
-        items = self._items()[model]
+    def _update_peak(self, model: str) -> None:
+        items = self._open_items()[model]
         peak, at = self._peaks.get(model, (0, float("-inf")))
         now = time.monotonic()
-        if items >= peak or now - at > REMEMBERED_S:
+        if items >= peak or now - at > PEAK_RETENTION_S:
             self._peaks[model] = (items, now)
 
-    def _items(self) -> Counter[str]:
+    def _open_items(self) -> Counter[str]:
         items: Counter[str] = Counter()
-        for job in self._open.values():
+        for job in self._open_jobs.values():
             items[job.model] += job.items
         return items
 
     def items_of(self, model: str) -> int | None:
-        """The most items lately; None if none was seen."""
+        """Recent peak of concurrently open items; None if the model had no open item."""
         peak, _ = self._peaks.get(model, (0, 0.0))
         return peak or None
 
     def work_s_of(self, model: str) -> float | None:
-        """Seconds of places that the most items lately need; None if that is not known."""
+        """Slot-seconds that the recent peak of open items needs; None if unknown."""
         items, item_s = self.items_of(model), self._item_s.get(model)
         return items * item_s if items is not None and item_s is not None else None
 
     def needed_version(self, model: str) -> int | None:
-        """The oldest version that may serve the model's newest job; None if none was seen."""
-        return self._needed.get(model)
+        """Highest `min_version` among the jobs seen of a model; None if no job was seen."""
+        return self._needed_versions.get(model)
--- a/tests/jobs/test_demand.py
+++ b/tests/jobs/test_demand.py
@@ -1,5 +1,5 @@
 from crankseam.jobs import demand as module
-from crankseam.jobs.demand import REMEMBERED_S, ModelDemand, OpenJob, decode_open_job
+from crankseam.jobs.demand import PEAK_RETENTION_S, ModelDemand, OpenJob, decode_open_job
 from tests.support.clock import FakeClock
 
 
@@ -14,7 +14,7 @@
     demand.ended("j1")
     demand.ended("never seen")
     assert demand.items_of("m") == 100 and demand.items_of("other") == 7
-    clock.now += REMEMBERED_S + 1.0
+    clock.now += PEAK_RETENTION_S + 1.0
     demand.opened("j4", OpenJob("m", 5))
     assert demand.items_of("m") == 45
 
