--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -92,7 +92,9 @@
     ) -> JobRunner:
         """See RunnerFactory."""
         route = self._find_route(job)
-        earlier = self._earlier_outputs.fitting(job, route is not None and route.single_version)
+        earlier = self._earlier_outputs.reusable_outputs(
+            job, route is not None and route.single_version
+        )
         if earlier.finished or earlier.partial:
             log.info(
                 "texts_carried",
--- a/tests/jobs/test_earlier_outputs.py
+++ b/tests/jobs/test_earlier_outputs.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from crankseam.jobs.earlier_outputs import KEPT_JOBS, EarlierOutputs, JobOutputs
+from crankseam.jobs.earlier_outputs import MAX_RETAINED_JOBS, EarlierOutputs, JobOutputs
 from crankseam.jobs.model import ItemResult, PartialText
 from tests.jobs.factories import events, make_job
 from tests.jobs.test_service import all_results, cluster, soon
@@ -18,20 +18,20 @@
 
 
 def earlier_outputs(job, versions, finished_versions=None):
-    texts = JobOutputs(partial={job.items[0].id: PartialText(["a", "b"], versions)})
+    outputs = JobOutputs(partial={job.items[0].id: PartialText(["a", "b"], versions)})
     if finished_versions is not None:
         result = ItemResult(job.items[1].id, True, "x\ny", finished_versions)
-        texts.finished[job.items[1].id] = result
+        outputs.finished[job.items[1].id] = result
     earlier = EarlierOutputs()
-    earlier.keep(job, texts)
+    earlier.keep(job, outputs)
     return earlier
 
 
 def test_texts_of_an_item_that_comes_again_are_found():
     job = make_job()
-    fitting = earlier_outputs(job, [3], [3, 4]).fitting(again(job), False)
-    assert fitting.partial == {"j1-i0": PartialText(["a", "b"], [3])}
-    assert list(fitting.finished) == ["j1-i1"]
+    reusable = earlier_outputs(job, [3], [3, 4]).reusable_outputs(again(job), False)
+    assert reusable.partial == {"j1-i0": PartialText(["a", "b"], [3])}
+    assert list(reusable.finished) == ["j1-i1"]
 
 
 @pytest.mark.parametrize(
@@ -49,37 +49,37 @@
 def test_a_text_is_used_only_if_its_versions_fit_the_later_job(versions, min_version, single, fits):
     job = make_job()
     earlier = earlier_outputs(job, versions, versions)
-    fitting = earlier.fitting(again(job, min_version=min_version), single)
-    assert bool(fitting.partial) is fits
-    assert bool(fitting.finished) is fits
+    reusable = earlier.reusable_outputs(again(job, min_version=min_version), single)
+    assert bool(reusable.partial) is fits
+    assert bool(reusable.finished) is fits
 
 
-def not_found(earlier, job):
-    return earlier.fitting(job, False) == JobOutputs()
+def nothing_reusable(earlier, job):
+    return earlier.reusable_outputs(job, False) == JobOutputs()
 
 
 def test_an_item_with_another_body_or_model_shares_only_its_id():
     job = make_job()
     earlier = earlier_outputs(job, [3], [3])
     changed = [msgspec.structs.replace(item, body=b"other") for item in job.items]
-    assert not_found(earlier, msgspec.structs.replace(again(job), items=changed))
+    assert nothing_reusable(earlier, msgspec.structs.replace(again(job), items=changed))
     other_model = msgspec.structs.replace(again(job), model="other")
-    assert not_found(earlier, other_model)
+    assert nothing_reusable(earlier, other_model)
 
 
 def test_the_later_run_does_not_change_what_is_kept():
     job = make_job()
     earlier = earlier_outputs(job, [3])
-    earlier.fitting(again(job), False).partial["j1-i0"].clear()
-    assert earlier.fitting(again(job), False).partial["j1-i0"].events == ["a", "b"]
+    earlier.reusable_outputs(again(job), False).partial["j1-i0"].clear()
+    assert earlier.reusable_outputs(again(job), False).partial["j1-i0"].events == ["a", "b"]
 
 
 def test_only_the_newest_jobs_are_kept():
     job = make_job()
     earlier = earlier_outputs(job, [3])
-    for number in range(KEPT_JOBS):
+    for number in range(MAX_RETAINED_JOBS):
         earlier.keep(make_job(f"other{number}"), JobOutputs())
-    assert earlier.fitting(again(job), False) == JobOutputs()
+    assert earlier.reusable_outputs(again(job), False) == JobOutputs()
 
 
 async def test_items_that_come_again_go_on_where_the_ended_job_stopped(cluster):
