--- a/src/crankseam/jobs/errors.py
+++ b/src/crankseam/jobs/errors.py
@@ -1,6 +1,7 @@
-"""Failures of jobs and of their items.
+"""Errors of jobs and of their items.
 
-Those of items and scores come from the clients that send them; the others from the store's answers.
+The clients of samplers and scoring back ends raise the errors of items and scores; the other errors
+derive from answers of the coordination store.
 """
 
 from __future__ import annotations
@@ -12,31 +13,37 @@
 
 
 class ItemImpossible(CrankseamError):
-    """The sampler says that this item can never be done."""
+    """The sampler reported that the item can never be completed; it is not retried."""
 
 
 class ItemFailed(CrankseamError):
-    """The sampler ran the item and failed."""
+    """The sampler ran the item and reported a failure."""
 
 
 class ScoringFailed(CrankseamError):
-    """A back end ran the scoring request and failed, and said so by a whole answer."""
+    """A back end ran the scoring request and reported its failure in a complete answer."""
 
 
 @dataclass
 class ResultsConflict(CrankseamError):
-    """Another process listed these results first, at the same positions."""
+    """Another process has already listed results at the same positions.
+
+    Attributes
+    ==========
+
+    winner : the results that are listed there.
+    """
 
     winner: list[ItemResult]
 
 
 class JobUnknown(CrankseamError):
-    """No job of this id was ever accepted, or it was dropped after its time."""
+    """No job of this id was accepted, or its retention time is over and it was removed."""
 
 
 class AcceptanceUnknown(CrankseamError):
-    """The job may have been accepted; the store did not say."""
+    """The job may have been accepted; the outcome is unknown."""
 
 
 class JobIdTaken(CrankseamError):
-    """A job of another tenant was accepted under this id."""
+    """A job of another tenant was already accepted under this id."""
