--- a/src/crankseam/jobs/job_tenants.py
+++ b/src/crankseam/jobs/job_tenants.py
@@ -1,6 +1,6 @@
-"""Whose a job is: a job shows itself to its own tenant only.
+"""Restricts access to a job to the tenant that submitted it.
 
-A job that belongs to nobody was submitted where callers need no key; any caller may see it.
+A job without a tenant was submitted where callers need no API key; every caller may access it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class JobTenants:
-    """Finds a job's tenant: by what this process runs or follows, else in the store.
+    """Looks up the tenant of a job.
 
     Explanation
     ===========
 
-    The keys that tell all processes that a job is open or ended name its tenant, so a call on a
-    job costs a read of the store only for one that this process has not heard of yet.
+    The keys that mark a job as open or ended name its tenant, and every process follows these keys.
+    So the store is read only for a job that this process neither runs nor knows from these keys.
     """
 
     def __init__(
@@ -31,21 +31,21 @@
         self._state = state
 
     async def check(self, job_id: str, tenant: str) -> None:
-        """Return if the job belongs to a tenant.
+        """Check that a tenant may access a job.
 
         Raises
         ======
 
-        JobUnknown : there is no such job for this tenant.
-        KeyValueError : the store did not say whose it is.
+        JobUnknown : the job does not exist, or belongs to another tenant.
+        KeyValueError : the store could not be read.
         """
-        owner = self._known(job_id)
+        owner = self._known_tenant(job_id)
         if owner is None:
             owner = await self._repository.tenant_of(job_id)
         if owner is None or owner not in (tenant, NO_TENANT):
             raise JobUnknown(job_id)
 
-    def _known(self, job_id: str) -> str | None:
+    def _known_tenant(self, job_id: str) -> str | None:
         runner = self._running.runners.get(job_id)
         if runner is not None:
             return runner.job.tenant
