--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -3,7 +3,7 @@
 Owns what this process knows of the job's chunks: results that are listed, by whomever, and results
 that are finished and wait for their listing. Positions are agreed by the store: a chunk of a number
 is created once (see repository.py), so two processes that list the same job never disagree. Relies
-on ListingMoments for when to list.
+on ListingSchedule for when to list.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from crankseam.backoff import Backoff
 from crankseam.errors import KeyValueError, KeyValueUnavailable
 from crankseam.jobs.errors import ResultsConflict
-from crankseam.jobs.listing_moments import ListingMoments
+from crankseam.jobs.listing_moments import ListingSchedule
 from crankseam.jobs.model import ItemResult, JobDefinition
 from crankseam.jobs.repository import JobRepository, fitting_one_chunk
 
@@ -43,7 +43,7 @@
     ==========
 
     listed : results that are listed already, chunk by chunk.
-    due_at : monotonic time; see ListingMoments.
+    due_at : monotonic time; see ListingSchedule.
     on_listed : called with the id of each item whose result gets listed, by whomever.
 
     Attributes
@@ -72,7 +72,7 @@
         self._pending: list[ItemResult] = []
         self._item_ids = {item.id for item in job.items}
         self._group_of = {item.id: item.group for item in job.items}
-        self._moments = ListingMoments(job, self._listed_ids, due_at)
+        self._schedule = ListingSchedule(job, self._listed_ids, due_at)
         self._listed_more = asyncio.Event()
         self._listing_since: float | None = None
         """Time of promises of the first call of a listing that may have taken effect unseen."""
@@ -123,11 +123,11 @@
         """Take an item's result, to be listed soon."""
         self._finished_ids.add(result.id)
         self._pending.append(result)
-        self._moments.finished(self._group_of[result.id])
+        self._schedule.finished(self._group_of[result.id])
 
     async def list_next(self) -> None:
         """Wait for the moment, then list what is finished as the next chunk."""
-        await self._moments.wait()
+        await self._schedule.wait()
         await self._list_pending()
 
     async def list_rest(self) -> None:
--- a/tests/jobs/test_listing_moments.py
+++ b/tests/jobs/test_listing_moments.py
@@ -6,7 +6,7 @@
 import pytest
 
 from crankseam.jobs import listing_moments
-from crankseam.jobs.listing_moments import ListingMoments
+from crankseam.jobs.listing_moments import ListingSchedule
 from tests.jobs.factories import make_job
 
 LONG_S = 1000.0
@@ -21,61 +21,61 @@
     return msgspec.structs.replace(job, items=items, desired=desired)
 
 
-async def returns(moments):
-    """Whether the wait ends by itself within moments."""
-    waiting = asyncio.create_task(moments.wait())
+async def wait_returns(schedule):
+    """Whether the schedule's wait returns within 0.2 s."""
+    waiting = asyncio.create_task(schedule.wait())
     done, _ = await asyncio.wait({waiting}, timeout=0.2)
     waiting.cancel()
     return bool(done)
 
 
 @pytest.fixture(autouse=True)
-def seldom(monkeypatch):
-    monkeypatch.setattr(listing_moments, "SELDOM_LISTED_S", LONG_S)
-    monkeypatch.setattr(listing_moments, "GROUP_LISTED_S", 0.01)
+def listing_delays(monkeypatch):
+    monkeypatch.setattr(listing_moments, "MAX_LISTING_DELAY_S", LONG_S)
+    monkeypatch.setattr(listing_moments, "GROUP_LISTING_DELAY_S", 0.01)
 
 
 async def test_a_group_by_which_no_step_ends_is_not_listed_by_itself():
-    moments = ListingMoments(job_of("a", "b", "c", desired=2), set(), math.inf)
-    moments.finished("a")
-    assert not await returns(moments)
-    moments.finished("b")
-    assert await returns(moments), "the step may end by these two"
+    schedule = ListingSchedule(job_of("a", "b", "c", desired=2), set(), math.inf)
+    schedule.finished("a")
+    assert not await wait_returns(schedule)
+    schedule.finished("b")
+    assert await wait_returns(schedule), "the step may end by these two"
 
 
 async def test_later_groups_are_listed_as_they_become_whole():
-    """Whichever the trainer waits for may be among them."""
-    moments = ListingMoments(job_of("a", "b", "b", desired=1), set(), math.inf)
-    moments.finished("a")
-    assert await returns(moments)
-    moments.finished("b")
-    assert not await returns(moments)
-    moments.finished("b")
-    assert await returns(moments)
+    """Any further group may be the one that the trainer still waits for."""
+    schedule = ListingSchedule(job_of("a", "b", "b", desired=1), set(), math.inf)
+    schedule.finished("a")
+    assert await wait_returns(schedule)
+    schedule.finished("b")
+    assert not await wait_returns(schedule)
+    schedule.finished("b")
+    assert await wait_returns(schedule)
 
 
 async def test_what_was_listed_before_counts():
     job = job_of("a", "b", "c", desired=2)
-    moments = ListingMoments(job, {job.items[0].id}, math.inf)
-    moments.finished("b")
-    assert await returns(moments)
+    schedule = ListingSchedule(job, {job.items[0].id}, math.inf)
+    schedule.finished("b")
+    assert await wait_returns(schedule)
 
 
 async def test_once_it_is_due_each_group_is_listed():
-    moments = ListingMoments(job_of("a", "b", desired=2), set(), time.monotonic())
-    moments.finished("a")
-    assert await returns(moments)
+    schedule = ListingSchedule(job_of("a", "b", desired=2), set(), time.monotonic())
+    schedule.finished("a")
+    assert await wait_returns(schedule)
 
 
 async def test_without_groups_each_result_is_listed_soon(monkeypatch):
-    monkeypatch.setattr(listing_moments, "SINGLE_LISTED_S", 0.01)
-    moments = ListingMoments(job_of("", "", ""), set(), math.inf)
-    moments.finished("")
-    assert await returns(moments)
+    monkeypatch.setattr(listing_moments, "UNGROUPED_LISTING_DELAY_S", 0.01)
+    schedule = ListingSchedule(job_of("", "", ""), set(), math.inf)
+    schedule.finished("")
+    assert await wait_returns(schedule)
 
 
 async def test_nothing_stays_unlisted_for_long(monkeypatch):
-    monkeypatch.setattr(listing_moments, "SELDOM_LISTED_S", 0.05)
-    moments = ListingMoments(job_of("a", "b", desired=2), set(), math.inf)
-    moments.finished("a")
-    assert await returns(moments)
+    monkeypatch.setattr(listing_moments, "MAX_LISTING_DELAY_S", 0.05)
+    schedule = ListingSchedule(job_of("a", "b", desired=2), set(), math.inf)
+    schedule.finished("a")
+    assert await wait_returns(schedule)
