--- a/src/crankseam/jobs/model.py
+++ b/src/crankseam/jobs/model.py
@@ -1,7 +1,7 @@
-"""What a job, its items and their results are; also how they are stored.
+"""Data model of jobs, their items and results, which is also their stored format.
 
-The store and other processes hold these by the names of their fields, and read what older versions
-wrote: a field is added with a default, never renamed.
+The store and other processes identify fields by name and keep data that older versions wrote. A new
+field therefore needs a default, and a field is never renamed.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
     """A request whose answer is the score of an item's text.
 
     Attributes:
-        host, path: choose the route, and with it the service that is asked.
+        host, path: select the route, and thereby the service that scores the text.
     """
 
     id: str
@@ -23,14 +23,16 @@
 
 
 class ItemDefinition(msgspec.Struct, frozen=True):
-    """One generation of a job.
+    """One generation request of a job.
 
     Attributes:
-        path: where it is posted at a sampler.
-        headers: passed to the sampler as they are.
-        tokens: prompt tokens plus the most that may be made.
-        prompt_tokens: tokens of the prompt alone; 0 if that is not told.
-        group: items of one group share their prompt; empty without groups.
+        path: URL path to which the request is posted at a sampler.
+        headers: headers that are passed to the sampler unchanged.
+        tokens: number of prompt tokens plus the maximum number of generated tokens.
+        prompt_tokens: number of prompt tokens; 0 if unknown.
+        group: items of one group share their prompt; empty if the job has no groups.
+        length_hint: expected number of output tokens; 0 if unknown, and often inaccurate.
+        scoring: request that scores the complete text; the item is completed only with its score.
     """
 
     id: str
@@ -40,21 +42,19 @@
     tokens: int = 0
     group: str = ""
     length_hint: int = 0
-    """Expected tokens of the output; 0 if not told, and often far off."""
     prompt_tokens: int = 0
     scoring: ScoringRequest | None = None
-    """Asked once the text is whole; the item is completed only with its score."""
 
 
 class JobDefinition(msgspec.Struct, frozen=True):
     """One job as it was submitted.
 
     Attributes:
-        step: global step of the trainer; None for a job that is no step.
-        min_version: oldest weight version that may make its tokens.
-        desired: whole groups that the trainer waits for; 0 if it waits for all.
-        tenant: name of the tenant that submitted it; empty where callers need no key.
-        priority: 0 goes first; the tenant's, else the route's, when it was submitted.
+        step: global training step; None if the job does not belong to a step.
+        min_version: oldest weight version that may generate its tokens.
+        desired: number of complete groups that the trainer waits for; 0 if it waits for all.
+        tenant: name of the tenant that submitted it; empty where callers need no API key.
+        priority: 0 is the highest; the tenant's priority at submission, or else the route's.
     """
 
     id: str
@@ -70,12 +70,12 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """What became of one item.
+    """The result of one item.
 
     Attributes:
-        completed: False when the item was given up.
-        versions: weight versions that made an event of the text, in order of first use.
-        score: signature of the answer to the item's scoring request; empty without one.
+        completed: False if the item was given up.
+        versions: weight versions that generated events of the text, in order of first use.
+        score: signature of the answer to the item's scoring request; empty if it has none.
     """
 
     id: str
@@ -86,7 +86,12 @@
 
 
 class GeneratedEvent(msgspec.Struct, frozen=True):
-    """One event of a generation; `version` is the weight version that made it, 0 if not told."""
+    """One event of a generation stream.
+
+    Attributes:
+        number: position in the stream, counted from 1.
+        version: weight version that generated the event; 0 if unknown.
+    """
 
     number: int
     data: str
@@ -94,10 +99,12 @@
 
 
 class PartialText(msgspec.Struct):
-    """The events of an item that were made so far, and the versions that made them.
+    """The events that were generated for an item so far.
 
     Attributes:
-        whole: whether the last event was made; the item may still lack its score.
+        events: the data of the events, in order.
+        versions: weight versions that generated them, in order of first use.
+        whole: whether the last event was generated; the score may still be missing.
     """
 
     events: list[str] = []
@@ -105,13 +112,13 @@
     whole: bool = False
 
     def take(self, event: GeneratedEvent) -> None:
-        """Append the next event."""
+        """Append the next event and record its version."""
         self.events.append(event.data)
         if event.version and event.version not in self.versions:
             self.versions.append(event.version)
 
     def clear(self) -> None:
-        """Forget everything: the item starts anew."""
+        """Discard all events, so that the item starts from the beginning."""
         self.events.clear()
         self.versions.clear()
         self.whole = False
