--- a/src/crankseam/jobs/peer_reads.py
+++ b/src/crankseam/jobs/peer_reads.py
@@ -1,7 +1,8 @@
-"""Reads of jobs that another process runs: its owner is asked before the store is.
+"""Reads jobs of other processes from their owners, to save reads of the store.
 
-The owner knows what is listed without a call of the store. It answers only while nobody else can
-own the job, so its answer is what the store holds, or what the store held a moment ago.
+The owner of a job knows its listed results without calling the store. It answers only while no
+other process can own the job, so its answer is what the store holds, or held a moment ago. The
+caller falls back to the store if the owner does not answer.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from crankseam.jobs.errors import JobUnknown
 from crankseam.jobs.model import ItemDefinition, ItemResult
 
-ANSWER_SLACK_S = 0.3
-"""Seconds beyond the wait itself for which an owner's answer is waited for; then the store is
-asked. Origin not recorded."""
+ANSWER_TIMEOUT_MARGIN_S = 0.3
+"""Seconds added to the requested wait to give the timeout of an owner's answer; after it, the store
+is read instead."""
 
 
 class ResultsQuestion(msgspec.Struct, frozen=True, tag=True):
-    """Results of a job from a position on, waited for ``wait_s`` seconds if there is none."""
+    """Asks for a job's results from a position on; waits up to ``wait_s`` seconds for the first."""
 
     job_id: str
     position: int
@@ -30,7 +31,7 @@
 
 
 class ItemQuestion(msgspec.Struct, frozen=True, tag=True):
-    """One item's definition."""
+    """Asks for the definition of one item."""
 
     job_id: str
     item_id: str
@@ -40,7 +41,16 @@
 
 
 class OwnerAnswer(msgspec.Struct, frozen=True):
-    """What the owner knows; ``is_owner`` is false when the asked process is not the owner."""
+    """The owner's answer to either question.
+
+    Attributes
+    ==========
+
+    is_owner : False if the process does not own the job, or cannot answer.
+    total : number of the job's items.
+    results : the results from the requested position on.
+    item : the requested item's definition.
+    """
 
     is_owner: bool = False
     total: int = 0
@@ -49,19 +59,19 @@
 
 
 class OwnerClient(Protocol):
-    """Asks owners of jobs."""
+    """Queries the processes that own jobs."""
 
     async def results(
         self, owner: str, job_id: str, position: int, wait_s: float
     ) -> tuple[int, list[ItemResult]] | None:
-        """The number of items and results from a position on; None if the owner did not say."""
+        """Number of items, and results from a position on; None if the owner did not answer."""
 
     async def item(self, owner: str, job_id: str, item_id: str) -> ItemDefinition | None:
-        """One item's definition; None if the owner did not say."""
+        """The definition of an item; None if the owner did not answer."""
 
 
 class OwnedJobs(Protocol):
-    """The jobs of this process, as far as others ask for them."""
+    """The reads of this process's jobs that other processes may request."""
 
     def is_owner(self, job_id: str) -> bool:
         """See JobService.is_owner."""
@@ -74,14 +84,14 @@
 
 
 class PeerReads:
-    """See OwnerClient; also answers for the jobs that this process owns."""
+    """Queries the owners of jobs, and answers such queries about this process's jobs."""
 
     def __init__(self, ask: ProcessAsker) -> None:
         self._ask_owner = ask
         self._jobs: OwnedJobs | None = None
 
     def answer_for(self, jobs: OwnedJobs) -> None:
-        """Answer other processes with this process's jobs."""
+        """Set the jobs from which queries of other processes are answered."""
         self._jobs = jobs
 
     async def results(
@@ -96,16 +106,16 @@
         return (await self._ask(owner, ItemQuestion(job_id, item_id), 0.0)).item
 
     async def _ask(self, owner: str, question: Question, wait_s: float) -> OwnerAnswer:
-        longest_s = wait_s + ANSWER_SLACK_S
+        timeout_s = wait_s + ANSWER_TIMEOUT_MARGIN_S
         try:
-            raw = await self._ask_owner(owner, msgspec.msgpack.encode(question), longest_s)
+            raw = await self._ask_owner(owner, msgspec.msgpack.encode(question), timeout_s)
             return msgspec.msgpack.decode(raw, type=OwnerAnswer)
         except (KeyValueError, msgspec.DecodeError):
-            # The caller asks the store instead.
+            # The caller reads the store instead.
             return OwnerAnswer()
 
     async def serve(self, raw: bytes) -> bytes:
-        """Answer another process."""
+        """Answer an encoded query of another process."""
         question = msgspec.msgpack.decode(raw, type=Question)
         try:
             answer = await self._answer(question)
--- a/tests/jobs/test_peer_reads.py
+++ b/tests/jobs/test_peer_reads.py
@@ -23,7 +23,7 @@
 
 
 class Process:
-    """One process's jobs; it can ask the others by their names."""
+    """A process with its jobs, which queries other processes by name."""
 
     def __init__(self, store, name, samplers, processes):
         self.supervisor = Supervisor()
@@ -45,7 +45,7 @@
         processes[name] = self
         self.jobs.start()
 
-    async def _ask(self, process, body, longest_s):
+    async def _ask(self, process, body, timeout_s):
         peer = self._processes[process]
         peer.asked += 1
         if peer.silent:
@@ -54,7 +54,7 @@
 
 
 class CountingStore:
-    """Counts the reading calls of one process."""
+    """A store that counts the read calls of one process."""
 
     def __init__(self, store):
         self._store = store
@@ -68,25 +68,25 @@
 
 @pytest.fixture
 async def pair():
-    """An owner that runs job j1, whose items wait, and another process."""
+    """A process that owns job j1, whose items block, and another process."""
     store, samplers, processes = MemoryStore(), ScriptedSamplers(), {}
     samplers.hold = asyncio.Event()
-    other_way = CountingStore(store)
+    counting_store = CountingStore(store)
     owner = Process(store, "a", samplers, processes)
-    other = Process(other_way, "b", samplers, processes)
+    other = Process(counting_store, "b", samplers, processes)
     for process in (owner, other):
         await eventually(lambda process=process: process.jobs.lease.is_held())
         await process.jobs.state.wait_synchronized()
     await owner.jobs.submit(make_job(), time.monotonic() + 5.0)
     await eventually(lambda: "crankseam/state/owner/j1" in other.jobs.state.entries)
-    yield store, samplers, owner, other, other_way
+    yield store, samplers, owner, other, counting_store
     for process in (owner, other):
         await process.supervisor.stop()
 
 
 async def test_the_owner_is_asked_and_the_store_is_not(pair):
-    _, samplers, owner, other, way = pair
-    reads = way.reads
+    _, samplers, owner, other, counting_store = pair
+    reads = counting_store.reads
     assert await other.jobs.read("j1", 0, 0.0) == (3, [])
     assert (await other.jobs.item("j1", "j1-i1")).body == b"\x00\xff"
     samplers.hold.set()
@@ -95,16 +95,16 @@
         _, more = await other.jobs.read("j1", len(results), 0.5)
         results += more
     assert results == (await owner.jobs.read("j1", 0, 0.0))[1]
-    assert owner.asked and way.reads == reads
+    assert owner.asked and counting_store.reads == reads
 
 
 async def test_a_silent_owner_leaves_the_store(pair):
-    _, samplers, owner, other, way = pair
+    _, samplers, owner, other, counting_store = pair
     owner.silent = True
-    reads = way.reads
+    reads = counting_store.reads
     assert await other.jobs.read("j1", 0, 0.0) == (3, [])
     assert (await other.jobs.item("j1", "j1-i1")).body == b"\x00\xff"
-    assert way.reads > reads
+    assert counting_store.reads > reads
 
 
 async def test_a_process_that_is_not_the_owner_answers_nobody(pair):
@@ -115,7 +115,7 @@
 
 
 async def test_an_owner_learns_what_a_former_owner_lists_after_the_take_over(pair):
-    """Its last listing got no answer, and takes effect when the next owner runs the job."""
+    """The former owner's last listing got no answer and takes effect after the take-over."""
     store, _, owner, other, _ = pair
     await owner.supervisor.stop()
     store.expire_lease(owner.jobs.lease.number)
