--- a/src/crankseam/jobs/reader.py
+++ b/src/crankseam/jobs/reader.py
@@ -1,7 +1,7 @@
-"""Jobs that other processes run, as far as this one has read them from the store.
+"""Reads jobs that other processes run from the store, and caches them.
 
-Owns copies of the newest CACHED_JOBS jobs that were asked for. Chunks never change, so what was
-read stays true and only what came since is read again. Relies on the repository.
+Caches the MAX_CACHED_JOBS most recently requested jobs. A stored chunk of results never changes, so
+a cached job stays valid, and only the chunks that were added since are read.
 """
 
 from __future__ import annotations
@@ -18,95 +18,101 @@
 
 log = logging.getLogger(__name__)
 
-CACHED_JOBS = 24
-"""Copies that a process keeps, the ones asked for last; an older one is read anew. Origin not
-recorded."""
+MAX_CACHED_JOBS = 24
+"""Number of jobs in a process's cache; a job that was evicted is read from the store again."""
 
 
 @dataclass
-class _Reading:
-    """One job; its chunks never change, so what was read stays true."""
+class _CachedJob:
+    """A job with the results that have been read so far.
+
+    Attributes
+    ==========
+
+    chunks : number of result chunks that have been read.
+    lock : held while new chunks are read, so that no chunk is added twice.
+    """
 
     definition: JobDefinition
     chunks: int = 0
     results: list[ItemResult] = field(default_factory=list)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
-    def has(self, position: int) -> bool:
-        """Whether a result stands there, or none ever will."""
+    def can_answer(self, position: int) -> bool:
+        """Whether the result at this position has been read, or all results have been."""
         return len(self.results) > position or len(self.results) == len(self.definition.items)
 
 
 class JobReader:
-    """Reads jobs from the store and keeps the newest ones."""
+    """Reads jobs from the store through a cache."""
 
     def __init__(self, repository: JobRepository) -> None:
         self._repository = repository
-        self._readings: OrderedDict[str, _Reading] = OrderedDict()
+        self._cached_jobs: OrderedDict[str, _CachedJob] = OrderedDict()
 
-    def knows(self, job_id: str) -> bool:
-        """Whether the job was read before."""
-        return job_id in self._readings
+    def is_cached(self, job_id: str) -> bool:
+        """Whether the job is in the cache."""
+        return job_id in self._cached_jobs
 
-    def remember(self, job: JobDefinition, chunks: int, results: list[ItemResult]) -> None:
-        """Take what this process listed while it ran the job."""
-        self._readings[job.id] = _Reading(job, chunks, results)
-        self._forget_oldest()
+    def cache(self, job: JobDefinition, chunks: int, results: list[ItemResult]) -> None:
+        """Add a job and the results that are known from its run in this process."""
+        self._cached_jobs[job.id] = _CachedJob(job, chunks, results)
+        self._evict_oldest()
 
     async def definition(self, job_id: str) -> JobDefinition:
-        """The job as it was submitted; raises JobUnknown, KeyValueError."""
-        reading = self._known(job_id)
-        if reading is None:
-            reading, _ = await self._load(job_id)
-        return reading.definition
+        """The job as it was submitted; raises JobUnknown or KeyValueError."""
+        cached = self._cached(job_id)
+        if cached is None:
+            cached, _ = await self._load(job_id)
+        return cached.definition
 
     async def read(self, job_id: str, position: int, wait_s: float) -> tuple[int, list[ItemResult]]:
-        """The number of items and the results from a position on; see JobService.read."""
-        reading = self._known(job_id)
-        if reading is None:
-            reading, revision = await self._load(job_id)
-        elif not reading.has(position):
-            revision = await self._read_on(job_id, reading)
-        if not reading.has(position) and wait_s:
-            await self._wait_for_more(job_id, reading, revision, wait_s)
-        return len(reading.definition.items), reading.results[position:]
+        """Number of items, and the results from a position on; see JobService.read."""
+        cached = self._cached(job_id)
+        if cached is None:
+            cached, revision = await self._load(job_id)
+        elif not cached.can_answer(position):
+            revision = await self._read_new_chunks(job_id, cached)
+        if not cached.can_answer(position) and wait_s:
+            await self._wait_for_more(job_id, cached, revision, wait_s)
+        return len(cached.definition.items), cached.results[position:]
 
     async def _wait_for_more(
-        self, job_id: str, reading: _Reading, revision: int, wait_s: float
+        self, job_id: str, cached: _CachedJob, revision: int, wait_s: float
     ) -> None:
         try:
             await self._repository.watch_results(job_id, revision, wait_s)
-            await self._read_on(job_id, reading)
+            await self._read_new_chunks(job_id, cached)
         except KeyValueError:
-            # What was read before the wait is an answer too.
+            # The results that were read before the wait are a valid answer.
             log.info("wait_for_results_failed", extra={"job": job_id})
 
-    def _known(self, job_id: str) -> _Reading | None:
-        if job_id in self._readings:
-            self._readings.move_to_end(job_id)
-        return self._readings.get(job_id)
+    def _cached(self, job_id: str) -> _CachedJob | None:
+        if job_id in self._cached_jobs:
+            self._cached_jobs.move_to_end(job_id)
+        return self._cached_jobs.get(job_id)
 
-    async def _load(self, job_id: str) -> tuple[_Reading, int]:
-        """Read a job whole; also the store's revision before the reading."""
+    async def _load(self, job_id: str) -> tuple[_CachedJob, int]:
+        """Read a whole job; also returns the store's revision before the read."""
         stored = await self._repository.load(job_id)
         if stored is None:
             raise JobUnknown(job_id)
         results = [result for chunk in stored.chunks for result in chunk]
-        loaded = _Reading(stored.definition, len(stored.chunks), results)
-        # Another caller may have loaded it meanwhile, and read on.
-        reading = self._readings.setdefault(job_id, loaded)
-        self._forget_oldest()
-        return reading, stored.revision
-
-    def _forget_oldest(self) -> None:
-        while len(self._readings) > CACHED_JOBS:
-            self._readings.popitem(last=False)
-
-    async def _read_on(self, job_id: str, reading: _Reading) -> int:
-        """Read what was listed since; the store's revision before the reading."""
-        async with reading.lock:
-            chunks, revision = await self._repository.read_chunks(job_id, reading.chunks)
-            reading.chunks += len(chunks)
+        loaded = _CachedJob(stored.definition, len(stored.chunks), results)
+        # Another caller may have loaded the job in the meantime, and read further chunks.
+        cached = self._cached_jobs.setdefault(job_id, loaded)
+        self._evict_oldest()
+        return cached, stored.revision
+
+    def _evict_oldest(self) -> None:
+        while len(self._cached_jobs) > MAX_CACHED_JOBS:
+            self._cached_jobs.popitem(last=False)
+
+    async def _read_new_chunks(self, job_id: str, cached: _CachedJob) -> int:
+        """Read the chunks that were added since; returns the store's revision before the read."""
+        async with cached.lock:
+            chunks, revision = await self._repository.read_chunks(job_id, cached.chunks)
+            cached.chunks += len(chunks)
             for chunk in chunks:
-                reading.results += chunk
+                cached.results += chunk
             return revision
--- a/src/crankseam/jobs/running.py
+++ b/src/crankseam/jobs/running.py
@@ -110,7 +110,7 @@
             task.cancel()
         if runner is not None and runner.accepted.is_set():
             listing = runner.listing
-            self._reader.remember(runner.job, listing.chunks, list(listing.results))
+            self._reader.cache(runner.job, listing.chunks, list(listing.results))
         return runner
 
     def drop_unaccepted(self, job_id: str) -> bool:
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -149,7 +149,7 @@
         """
         if self.running.has_ended(job_id):
             return
-        known = self.running.was_owned(job_id) or self._reader.knows(job_id)
+        known = self.running.was_owned(job_id) or self._reader.is_cached(job_id)
         if not known and not await self._repository.exists(job_id):
             raise JobUnknown(job_id)
         await self._repository.end(job_id, tenant)
