--- a/src/crankseam/jobs/repository.py
+++ b/src/crankseam/jobs/repository.py
@@ -1,18 +1,22 @@
-"""Jobs in the coordination store: written once, results appended in numbered chunks.
-
-Keys, below one root:
-
-- `job/ID/part/NNN`: the submitted job, cut to the store's value size; written before the head
-- `job/ID/head`: number of parts, and the tenant; its existence is the acceptance
-- `job/ID/result/NNNNNN`: a chunk of results; created only if absent, never changed. A writer knows
-  all earlier chunks, so positions are agreed by whoever creates the next number
-- `job/ID/progress`: texts of items that run, now and then; an older one does no harm
-- `job/ID/end`: exists once the job was ended
-- `state/open/ID`: the job's model, tenant and number of items; exists while it is accepted and not
-  ended
-- `state/owner/ID`: the process that runs it, under that process's lease
-- `state/ended/ID`: the job's tenant; exists from a job's end until everything else of it was
-  removed
+"""Stores jobs in the coordination store: each job is written once, results are appended in chunks.
+
+Keys, relative to a common root:
+
+- `job/ID/part/NNN`: the encoded job, split to fit the store's value size. All parts but the first
+  are written before the head; the first is written with it.
+- `job/ID/head`: number of parts, accepting process and tenant. The job is accepted once this key
+  exists.
+- `job/ID/result/NNNNNN`: a numbered chunk of results, created only if absent and never changed. A
+  writer knows all earlier chunks, so whoever creates the next number fixes the positions of its
+  results.
+- `job/ID/progress`: partial texts of the running items, saved periodically. An outdated version is
+  harmless.
+- `job/ID/end`: exists once the job has ended.
+- `state/open/ID`: what all processes know of the job, see OpenJob; exists from its acceptance to
+  its end.
+- `state/owner/ID`: name of the process that runs the job, attached to that process's lease.
+- `state/ended/ID`: the job's tenant; exists from the job's end until all its other keys have been
+  removed.
 """
 
 from __future__ import annotations
@@ -41,12 +45,12 @@
 OPEN_PREFIX = STATE_PREFIX + "open/"
 OWNER_PREFIX = STATE_PREFIX + "owner/"
 ENDED_PREFIX = STATE_PREFIX + "ended/"
-PART_BYTES = 600 * 1024
-"""A value is sent in base64, which must stay under the store's value size."""
+MAX_VALUE_BYTES = 600 * 1024
+"""Size limit of a stored value: its base64 encoding must fit the store's value size."""
 
 
 class JobHead(msgspec.Struct, frozen=True):
-    """What the head key holds."""
+    """The value of a job's head key."""
 
     parts: int
     accepted_by: str
@@ -55,9 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job as read from the store, with everything that was listed when it was read.
+    """A job as read from the store, with all results that were listed at that time.
 
-    ``revision`` is the store's before the reading: a watch from there misses nothing.
+    Attributes
+    ==========
+
+    chunks : the listed results, chunk by chunk.
+    kept : saved partial texts, by item id.
+    revision : the store's revision before the read; a watch from it misses no change.
     """
 
     definition: JobDefinition
@@ -72,7 +81,7 @@
 
 
 def result_prefix(job_id: str) -> str:
-    """All result chunks of a job, in order."""
+    """Key prefix of a job's result chunks; the order of the keys is that of the chunks."""
     return _job_prefix(job_id) + "result/"
 
 
@@ -85,10 +94,10 @@
 
 
 class JobRepository:
-    """Reads and writes jobs; every method may raise the store's `KeyValueError`s.
+    """Reads and writes jobs; every method may raise the store's `KeyValueError`.
 
     Args:
-        process: name of this process, unique among the living.
+        process: name of this process, unique among the living processes.
     """
 
     def __init__(self, store: CoordinationStore, process: str) -> None:
@@ -96,17 +105,19 @@
         self.process = process
 
     async def create(self, job: JobDefinition, lease: int, item_s: float = 0.0) -> bool:
-        """Accept a job; False when it was accepted before.
+        """Accept a job; returns False if it was accepted before.
 
         Args:
-            lease: lease under which this process owns it; 0 leaves it without an owner.
+            lease: lease under which this process becomes the owner; 0 for no owner.
             item_s: see OpenJob.
 
         Raises:
             JobIdTaken: another tenant's job has this id.
         """
         encoded = msgspec.msgpack.encode(job)
-        parts = [encoded[at : at + PART_BYTES] for at in range(0, len(encoded), PART_BYTES)]
+        parts = [
+            encoded[at : at + MAX_VALUE_BYTES] for at in range(0, len(encoded), MAX_VALUE_BYTES)
+        ]
         prefix = _job_prefix(job.id)
         puts = [Put(prefix + _part_name(number), part) for number, part in enumerate(parts)]
         for put in puts[1:]:
@@ -129,7 +140,7 @@
         return True
 
     async def load(self, job_id: str) -> StoredJob | None:
-        """The job with all that belongs to it, by one range; None if there is none."""
+        """Read a job with its results and progress by one range read; None if there is no job."""
         prefix = _job_prefix(job_id)
         entries, revision = await read_prefix(self._store, prefix)
         values = {entry.key.removeprefix(prefix): entry.value for entry in entries}
@@ -146,13 +157,15 @@
             revision=revision,
         )
 
-    async def read_chunks(self, job_id: str, known: int) -> tuple[list[list[ItemResult]], int]:
-        """Chunks from number `known` on, and the store's revision before the reading."""
+    async def read_chunks(
+        self, job_id: str, first_number: int
+    ) -> tuple[list[list[ItemResult]], int]:
+        """Chunks from a number on, and the store's revision before the read."""
         prefix = result_prefix(job_id)
-        if known == 0:
+        if first_number == 0:
             entries, revision = await read_prefix(self._store, prefix)
         else:
-            page = await self._store.page(prefix, _result_key(job_id, known - 1))
+            page = await self._store.page(prefix, _result_key(job_id, first_number - 1))
             entries, revision = page.entries, page.revision
             while page.more and page.entries:
                 page = await self._store.page(prefix, page.entries[-1].key)
@@ -162,11 +175,11 @@
     async def append(self, job_id: str, number: int, results: list[ItemResult]) -> None:
         """List results as chunk `number`.
 
-        After a lost answer the caller tries again: if the lost write took effect, that shows as a
-        conflict whose winner is the caller's own chunk.
+        If the answer is lost, the caller retries. If the first write took effect, the retry raises
+        a ResultsConflict whose winner is the caller's own chunk.
 
         Raises:
-            ResultsConflict: a chunk of that number is listed.
+            ResultsConflict: a chunk of this number exists already.
         """
         key = _result_key(job_id, number)
         value = msgspec.msgpack.encode(results)
@@ -177,11 +190,11 @@
             raise ResultsConflict(decode_chunk(found) if found is not None else []) from None
 
     async def save_progress(self, job_id: str, texts: dict[str, PartialText]) -> None:
-        """Keep the texts of running items, so that another process can go on from there.
+        """Save the partial texts of running items, so that another process can resume them.
 
-        Texts that do not fit one value are left out, the longest first.
+        If the texts do not fit one value, the longest ones are left out.
         """
-        budget = PART_BYTES
+        budget = MAX_VALUE_BYTES
         kept: dict[str, PartialText] = {}
         for item_id, text in sorted(texts.items(), key=lambda pair: len(pair[1].events)):
             budget -= sum(len(event) for event in text.events)
@@ -192,7 +205,7 @@
         await self._store.commit(Transaction(puts=[Put(_job_prefix(job_id) + "progress", value)]))
 
     async def end(self, job_id: str, tenant: str = "") -> None:
-        """End an accepted job of a tenant; repeating it changes nothing."""
+        """Mark an accepted job of a tenant as ended; idempotent."""
         ended = Put(ENDED_PREFIX + job_id, tenant.encode())
         await self._store.commit(
             Transaction(
@@ -202,9 +215,10 @@
         )
 
     async def remove(self, job_id: str) -> None:
-        """Remove an ended job whole; what was cut off is finished by calling again.
+        """Remove all keys of an ended job; an interrupted removal is completed by another call.
 
-        The head goes first, so that nobody reads a part of the job, and the mark of its end last.
+        The head is removed first, so that no reader sees an incomplete job. The key in
+        `state/ended/` is removed last, so that an interrupted removal can be found.
         """
         prefix = _job_prefix(job_id)
         entries, _ = await read_prefix(self._store, prefix)
@@ -224,9 +238,10 @@
         return _decode_head(head.value).tenant if head is not None else None
 
     async def claim(self, job_id: str, lease: int) -> bool:
-        """Become the owner of an open job without one, or with an earlier life of this process.
+        """Become the owner of an open job.
 
-        Returns False if it has another owner, or was ended.
+        This succeeds if the job has no owner, or if its owner is this process under the same or an
+        earlier lease. Returns False if another process owns the job or it has ended.
         """
         open_key, owner_key = OPEN_PREFIX + job_id, OWNER_PREFIX + job_id
         opened = await self._store.get(open_key)
@@ -248,16 +263,17 @@
         return True
 
     async def watch_results(self, job_id: str, after_revision: int, wait_s: float) -> None:
-        """Return when results were listed after a revision, or after so many seconds."""
+        """Return when results have been listed after a revision, or after `wait_s` seconds."""
         await self._store.watch(result_prefix(job_id), after_revision, wait_s)
 
 
-def fitting_one_chunk(results: list[ItemResult]) -> list[ItemResult]:
-    """The first results that fit one value of the store; one at least.
+def first_chunk(results: list[ItemResult]) -> list[ItemResult]:
+    """The longest prefix of the results that fits one stored value, but at least one result.
 
-    A value that is too large is refused each time, so that nothing after it would be listed.
+    The store refuses a value that is too large on every retry, so a larger chunk would block all
+    later results.
     """
-    budget = PART_BYTES
+    budget = MAX_VALUE_BYTES
     for count, result in enumerate(results):
         budget -= len(msgspec.msgpack.encode(result))
         if budget < 0:
@@ -266,7 +282,7 @@
 
 
 def decode_chunk(entry: Entry) -> list[ItemResult]:
-    """The results of one chunk."""
+    """Decode the results of a stored chunk."""
     return _decode_results(entry.value)
 
 
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -18,7 +18,7 @@
 from crankseam.jobs.errors import ResultsConflict
 from crankseam.jobs.listing_moments import ListingSchedule
 from crankseam.jobs.model import ItemResult, JobDefinition
-from crankseam.jobs.repository import JobRepository, fitting_one_chunk
+from crankseam.jobs.repository import JobRepository, first_chunk
 
 log = logging.getLogger(__name__)
 
@@ -148,7 +148,7 @@
             number = self.chunks
             if self._listing_since is None:
                 self._listing_since = clocks.promised_s()
-            part = fitting_one_chunk(batch)
+            part = first_chunk(batch)
             try:
                 await self._repository.append(self._job_id, number, part)
                 if number == self.chunks:
--- a/tests/jobs/test_repository.py
+++ b/tests/jobs/test_repository.py
@@ -25,7 +25,7 @@
 
 
 async def test_a_job_larger_than_a_value_is_cut_and_joined(monkeypatch):
-    monkeypatch.setattr("crankseam.jobs.repository.PART_BYTES", 50)
+    monkeypatch.setattr("crankseam.jobs.repository.MAX_VALUE_BYTES", 50)
     store = MemoryStore()
     repository = JobRepository(store, "a")
     job = make_job(items=20)
@@ -105,7 +105,7 @@
 
 
 async def test_progress_that_does_not_fit_leaves_out_the_longest(monkeypatch):
-    monkeypatch.setattr("crankseam.jobs.repository.PART_BYTES", 50)
+    monkeypatch.setattr("crankseam.jobs.repository.MAX_VALUE_BYTES", 50)
     store = MemoryStore()
     repository = JobRepository(store, "a")
     texts = {"long": PartialText(["x" * 30] * 2, [1]), "short": PartialText(["x" * 30], [1])}
--- a/tests/jobs/test_result_listing.py
+++ b/tests/jobs/test_result_listing.py
@@ -42,7 +42,7 @@
 
 async def test_results_that_do_not_fit_one_value_are_listed_by_several_writes(monkeypatch):
     """The store refuses a value that is too large each time."""
-    monkeypatch.setattr("crankseam.jobs.repository.PART_BYTES", 1000)
+    monkeypatch.setattr("crankseam.jobs.repository.MAX_VALUE_BYTES", 1000)
     store = MemoryStore()
     listing = make_listing(store, make_job(items=7))
     listing._pending = [ItemResult(f"j1-i{number}", True, "x" * 400) for number in range(6)]
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -306,7 +306,7 @@
     await owner.kill()
     await eventually(lambda: other.jobs.is_owner("j1"), "take-over")
 
-    async def no_answer(job_id, known):
+    async def no_answer(job_id, first_number):
         await asyncio.Event().wait()
 
     other.jobs._repository.read_chunks = no_answer
