--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -117,7 +117,7 @@
             return
         log.warning("job_lost", extra={"job": job_id, "owner": owner})
         self._running.stop(job_id)
-        self._supervisor.once(runner.list_rest, f"rest of {job_id}")
+        self._supervisor.once(runner.list_pending, f"rest of {job_id}")
 
     def lease_replaced(self, _lease: int) -> None:
         """Claim the running jobs again: their owner keys went with the old lease."""
@@ -219,7 +219,7 @@
             return
         first_number = runner.listing.chunks
         chunks, _ = await self._repository.read_chunks(job_id, first_number)
-        runner.listing.take_chunks(first_number, chunks)
+        runner.listing.add_chunks(first_number, chunks)
 
     def _start_former_owner_poll(self, job_id: str) -> None:
         self._supervisor.once(partial(self._poll_former_owner, job_id), f"follow {job_id}")
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -1,9 +1,10 @@
-"""Lists one job's results in the store, and knows which of them others may have seen.
+"""Lists the results of one job in the store, and tracks which results are listed.
 
-Owns what this process knows of the job's chunks: results that are listed, by whomever, and results
-that are finished and wait for their listing. Positions are agreed by the store: a chunk of a number
-is created once (see repository.py), so two processes that list the same job never disagree. Relies
-on ListingSchedule for when to list.
+A result is listed once it is part of a stored chunk, which fixes its position for readers. This
+module keeps the results that are known to be listed, by this process or another, and the finished
+results that are still to be listed. The store creates a chunk of each number only once (see
+repository.py), so two processes that list results of the same job agree on all positions.
+ListingSchedule decides when to list.
 """
 
 from __future__ import annotations
@@ -22,36 +23,38 @@
 
 log = logging.getLogger(__name__)
 
-UNCERTAIN_S = 0.4
-"""A listing without an answer may have taken effect; after this its runner no longer knows what
-readers of the store have seen. Set after results that had been read were missing from an owner's
-answer; a call of the store is given up after 1 s."""
-UNCHECKED_S = 0.9
-"""The same while a former owner's last listing may still take effect, since the last look: more
-than FORMER_OWNER_POLL_INTERVAL_S of take_over.py, so that one look in time keeps a runner
-certain. A choice."""
+UNCERTAIN_AFTER_S = 0.4
+"""Seconds after which a listing without an answer makes a runner uncertain of what readers of the
+store have seen, since the listing may have taken effect. Without this limit, results that had
+already been read from the store were missing from an owner's answer; a store call times out only
+after 1 s."""
+MAX_CHECK_AGE_S = 0.9
+"""Seconds after the last poll for a former owner's results at which a runner becomes uncertain,
+while the former owner's last listing may still take effect. Must exceed
+FORMER_OWNER_POLL_INTERVAL_S of take_over.py, so that polling in time keeps the runner certain."""
 RETRY_BASE_S = 0.05
-"""First pause between two tries of a listing; see Backoff. Origin not recorded."""
+"""Initial delay before a failed listing is retried; see Backoff."""
 RETRY_CAP_S = 0.5
-"""Longest such pause. Origin not recorded."""
+"""Upper bound of the delay between retries."""
 
 
 class ResultListing:
-    """The results of one job.
+    """The listed and pending results of one job.
 
     Parameters
     ==========
 
     listed : results that are listed already, chunk by chunk.
     due_at : monotonic time; see ListingSchedule.
-    on_listed : called with the id of each item whose result gets listed, by whomever.
+    on_listed : called with the id of each item whose result is listed, by any process.
 
     Attributes
     ==========
 
-    chunks : how many chunks are listed.
-    results : what is listed, by position.
-    checked_at : time of promises of the last look for others' listings; None if there can be none.
+    chunks : number of listed chunks.
+    results : the listed results, by position.
+    checked_at : time (`clocks.promised_s`) of the last poll for results that a former owner
+        listed; None if no listing of a former owner can take effect any more.
     """
 
     def __init__(
@@ -71,121 +74,132 @@
         self._finished_ids: set[str] = set()
         self._pending: list[ItemResult] = []
         self._item_ids = {item.id for item in job.items}
-        self._group_of = {item.id: item.group for item in job.items}
+        self._group_by_item = {item.id: item.group for item in job.items}
         self._schedule = ListingSchedule(job, self._listed_ids, due_at)
-        self._listed_more = asyncio.Event()
-        self._listing_since: float | None = None
-        """Time of promises of the first call of a listing that may have taken effect unseen."""
+        self._results_added = asyncio.Event()
+        self._unconfirmed_since: float | None = None
+        """Time (`clocks.promised_s`) of the first write that may have taken effect unnoticed."""
         self.checked_at: float | None = None
 
-    # --- what is known
+    # --- state
 
     def is_listed(self, item_id: str) -> bool:
         """Whether an item's result is listed."""
         return item_id in self._listed_ids
 
     def has_result(self, item_id: str) -> bool:
-        """Whether an item has its result, listed or not."""
+        """Whether an item has its result, listed or pending."""
         return item_id in self._listed_ids or item_id in self._finished_ids
 
     def is_complete(self) -> bool:
         """Whether the results of all items are listed."""
         return len(self._listed_ids) >= len(self._item_ids)
 
-    def known(self) -> list[ItemResult]:
-        """All results, those that wait for their listing last."""
+    def listed_and_pending(self) -> list[ItemResult]:
+        """All results: the listed ones by position, then the pending ones."""
         return [*self.results, *self._pending]
 
     def is_certain(self) -> bool:
-        """Whether readers of the store can not have seen results that are not known here.
+        """Whether this process knows all results that readers of the store can have seen.
 
-        What is listed only moments ago need not be known everywhere.
+        Results that were listed a moment ago are excepted: for up to UNCERTAIN_AFTER_S those whose
+        write got no answer, and for up to MAX_CHECK_AGE_S those of a former owner.
         """
         now = clocks.promised_s()
-        if self._listing_since is not None and now - self._listing_since > UNCERTAIN_S:
+        if (
+            self._unconfirmed_since is not None
+            and now - self._unconfirmed_since > UNCERTAIN_AFTER_S
+        ):
             return False
-        return self.checked_at is None or now - self.checked_at <= UNCHECKED_S
+        return self.checked_at is None or now - self.checked_at <= MAX_CHECK_AGE_S
 
     async def wait_for(self, position: int, wait_s: float) -> None:
-        """Return when a result stands at `position`, or after so many seconds."""
+        """Return when a result is listed at `position`, or after `wait_s` seconds."""
         try:
             async with asyncio.timeout(wait_s):
                 while len(self.results) <= position:
-                    listed_more = self._listed_more
-                    await listed_more.wait()
+                    results_added = self._results_added
+                    await results_added.wait()
         except TimeoutError:
-            # The caller sees by the results that there is none.
+            # The caller sees from the results that there is none.
             return
 
     # --- listing
 
     def finish(self, result: ItemResult) -> None:
-        """Take an item's result, to be listed soon."""
+        """Add a finished item's result, to be listed as the schedule says."""
         self._finished_ids.add(result.id)
         self._pending.append(result)
-        self._schedule.finished(self._group_of[result.id])
+        self._schedule.finished(self._group_by_item[result.id])
 
     async def list_next(self) -> None:
-        """Wait for the moment, then list what is finished as the next chunk."""
+        """Wait until the schedule allows it, then list all pending results."""
         await self._schedule.wait()
-        await self._list_pending()
+        await self._list_batch()
 
-    async def list_rest(self) -> None:
-        """List what is finished at once; also by a process that no longer owns the job.
+    async def list_pending(self) -> None:
+        """List the pending results without waiting for the schedule.
 
-        Listing is agreed by the store, so a new owner finds these results instead of making
-        them again.
+        A process that no longer owns the job may list results too: the store resolves conflicts,
+        and the new owner reads these results instead of generating them again.
         """
         if self._pending:
-            await self._list_pending()
+            await self._list_batch()
 
-    async def _list_pending(self) -> None:
-        """List until all of it is listed, whoever else lists meanwhile."""
+    async def _list_batch(self) -> None:
+        """Retry until all pending results are listed, by this process or another."""
         batch = self._unlisted(self._pending)
         backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
-        may_be_done = False
+        outcome_unknown = False
         while batch:
             number = self.chunks
-            if self._listing_since is None:
-                self._listing_since = clocks.promised_s()
+            if self._unconfirmed_since is None:
+                self._unconfirmed_since = clocks.promised_s()
             part = first_chunk(batch)
             try:
                 await self._repository.append(self._job_id, number, part)
                 if number == self.chunks:
-                    self._take_chunk(part)
+                    self._add_chunk(part)
             except ResultsConflict as conflict:
                 log.warning("results_conflict", extra={"job": self._job_id, "chunk": number})
                 if number == self.chunks:
-                    self._take_chunk(conflict.winner)
+                    self._add_chunk(conflict.winner)
             except KeyValueError as error:
-                if isinstance(error, KeyValueUnavailable) and not may_be_done:
-                    self._listing_since = None
+                if isinstance(error, KeyValueUnavailable) and not outcome_unknown:
+                    self._unconfirmed_since = None
                 else:
-                    may_be_done = True
+                    outcome_unknown = True
                 log.warning(
                     "results_not_listed",
                     extra={"job": self._job_id, "error": type(error).__name__},
                 )
                 await asyncio.sleep(backoff.next_delay())
-            # A chunk that was read meanwhile may be this batch, listed by a lost call.
+            # A chunk that was read in the meantime may be this batch, listed by a write whose
+            # answer was lost.
             batch = self._unlisted(batch)
         self._pending = self._unlisted(self._pending)
 
     def _unlisted(self, results: list[ItemResult]) -> list[ItemResult]:
         return [result for result in results if result.id not in self._listed_ids]
 
-    def take_chunks(self, first_number: int, chunks: list[list[ItemResult]]) -> None:
-        """Take chunks as read from the store, the first of that number.
+    def add_chunks(self, first_number: int, chunks: list[list[ItemResult]]) -> None:
+        """Add consecutive chunks that were read from the store.
 
-        This process may itself have listed some of them while they were read.
+        Chunks that are known already are skipped: this process may have listed some of them while
+        they were read.
+
+        Parameters
+        ==========
+
+        first_number : number of the first chunk.
         """
         for number, chunk in enumerate(chunks, start=first_number):
             if number == self.chunks:
-                self._take_chunk(chunk)
+                self._add_chunk(chunk)
 
-    def _take_chunk(self, chunk: list[ItemResult]) -> None:
+    def _add_chunk(self, chunk: list[ItemResult]) -> None:
         first = len(self.results)
-        self._listing_since = None
+        self._unconfirmed_since = None
         self.chunks += 1
         self.results += chunk
         for result in chunk:
@@ -200,5 +214,5 @@
                 "items": [result.id for result in chunk],
             },
         )
-        listed_more, self._listed_more = self._listed_more, asyncio.Event()
-        listed_more.set()
+        results_added, self._results_added = self._results_added, asyncio.Event()
+        results_added.set()
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -123,10 +123,10 @@
             log.warning("item_given_up", extra={"job": self.job.id, "item": item.id})
             return ItemResult(item.id, False)
 
-    async def list_rest(self) -> None:
+    async def list_pending(self) -> None:
         """List what is finished, once, if the job lasts; see ResultListing."""
         if self.accepted.is_set():
-            await self.listing.list_rest()
+            await self.listing.list_pending()
 
     # --- texts
 
@@ -156,7 +156,7 @@
 
     def outputs(self) -> JobOutputs:
         """Everything that was made so far, listed or not."""
-        finished = {one.id: one for one in self.listing.known() if one.completed}
+        finished = {one.id: one for one in self.listing.listed_and_pending() if one.completed}
         partial = {
             item_id: text
             for item_id, text in self._kept.items()
--- a/src/crankseam/jobs/take_over.py
+++ b/src/crankseam/jobs/take_over.py
@@ -25,7 +25,7 @@
 """Seconds for which a new owner polls for results that the former owner listed: a write that got no
 answer may take effect this much later."""
 FORMER_OWNER_POLL_INTERVAL_S = 0.6
-"""Seconds between two such polls; must be less than UNCHECKED_S of result_listing.py."""
+"""Seconds between two such polls; must be less than MAX_CHECK_AGE_S of result_listing.py."""
 
 
 def needs_owner(
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -57,8 +57,8 @@
 async def test_the_rest_is_listed_only_of_a_job_that_lasts():
     runner = make_runner()
     runner.listing._pending = [ItemResult("j1-i0", True)]
-    await runner.list_rest()
+    await runner.list_pending()
     assert runner.listing.chunks == 0
     runner.accepted.set()
-    await runner.list_rest()
+    await runner.list_pending()
     assert runner.listing.chunks == 1 and not runner.listing._pending
