--- a/src/crankseam/jobs/retention.py
+++ b/src/crankseam/jobs/retention.py
@@ -1,11 +1,14 @@
-"""When an ended job is removed from the store, and by which process.
+"""Removes ended jobs from the store after their retention time.
 
-Inputs: the keys of ended jobs, as this process follows them; when it first saw each, by its own
-monotonic clock; the time for which the deployment lets callers ask for ended jobs.
+Inputs: the keys of ended jobs in this process's copy of the store; the time on its own monotonic
+clock at which it first saw each of them; the time for which the deployment lets callers query an
+ended job (`job_status_seconds`).
 Rule: a job is removed KEPT_FACTOR times that long after this process first saw its end, plus a
-random delay of up to SPREAD_S, by the processes that watch the store for others.
-Protects: callers that still ask; the store, which would else grow for ever.
-Shown by: `job_removed`, `job_not_removed`. Held by: tests/jobs/test_retention.py.
+random delay of up to REMOVAL_JITTER_S. Only the processes that watch the store for other processes
+remove jobs.
+Purpose: to let callers query ended jobs for the promised time, and to bound the size of the store.
+Logged as: `job_removed`, `job_not_removed`.
+Tested by: tests/jobs/test_retention.py.
 """
 
 from __future__ import annotations
@@ -22,71 +25,70 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 5.0
-"""Seconds between two looks for jobs to remove. Origin not recorded."""
-SPREAD_S = 30.0
-"""Processes that may remove the same job come to it within so long of each other: the first does
-it, and the others see that it is gone. Origin not recorded."""
+SCAN_INTERVAL_S = 5.0
+"""Seconds between two scans for jobs to remove."""
+REMOVAL_JITTER_S = 30.0
+"""Upper bound of the random delay before a removal. It spreads the processes that may remove a job:
+the first one removes it, and the others see that it is gone."""
 KEPT_FACTOR = 2.0
-"""An ended job is kept this many times as long as the deployment allows it to be asked for. A
-choice, not measured."""
+"""Ratio of an ended job's retention time to the time for which callers may query it."""
 
 
 class JobRetention:
-    """Bounds what ended jobs take up.
+    """Removes ended jobs whose retention time is over.
 
     Explanation
     ===========
 
-    A job's end leaves a key. Each process notes when it first saw that key by its own monotonic
-    clock, so a job is never removed too early, whatever clocks say; a process that starts anew
-    counts from its start.
+    The end of a job creates a key. Each process measures the retention time with its own monotonic
+    clock from the moment at which it first saw this key. So a wrong wall clock never causes an
+    early removal, and a restarted process counts from its start.
 
     Parameters
     ==========
 
-    state : follows the prefix of jobs' states.
-    keep_s : seconds from a job's end to its removal.
-    is_allowed : whether this process is among those that remove jobs.
-    look_s : seconds between two looks.
+    state : follower of the job state prefix.
+    retention_s : seconds from a job's end to its removal.
+    may_remove : whether this process may remove jobs at present.
+    scan_interval_s : seconds between two scans.
     """
 
     def __init__(
         self,
         repository: JobRepository,
         state: PrefixFollower,
-        keep_s: float,
-        is_allowed: Callable[[], bool],
-        look_s: float = LOOK_S,
+        retention_s: float,
+        may_remove: Callable[[], bool],
+        scan_interval_s: float = SCAN_INTERVAL_S,
     ) -> None:
         self._repository = repository
         self._state = state
-        self._keep_s = keep_s
-        self._spread_s = min(SPREAD_S, keep_s)
-        self._is_allowed = is_allowed
-        self._look_s = look_s
+        self._retention_s = retention_s
+        self._jitter_s = min(REMOVAL_JITTER_S, retention_s)
+        self._may_remove = may_remove
+        self._scan_interval_s = scan_interval_s
         self._due_at: dict[str, float] = {}
-        """Monotonic time from which a job may be removed, by the key of its end."""
+        """Monotonic time from which a job may be removed, by its key in `state/ended/`."""
 
     def waiting(self) -> list[str]:
-        """Keys of the ends of jobs that are still kept."""
+        """Keys (in `state/ended/`) of the ended jobs that are not removed yet."""
         return list(self._due_at)
 
     async def run(self) -> None:
-        """Look for jobs to remove until cancelled."""
+        """Scan for jobs to remove until cancelled."""
         while True:
-            await asyncio.sleep(self._look_s)
-            self._note_ends()
-            if self._is_allowed():
+            await asyncio.sleep(self._scan_interval_s)
+            self._schedule_removals()
+            if self._may_remove():
                 await self._remove_due()
 
-    def _note_ends(self) -> None:
+    def _schedule_removals(self) -> None:
         ended = {key for key in self._state.entries if key.startswith(ENDED_PREFIX)}
         for key in [key for key in self._due_at if key not in ended]:
             del self._due_at[key]
         now = time.monotonic()
         for key in ended - self._due_at.keys():
-            self._due_at[key] = now + self._keep_s + random.uniform(0.0, self._spread_s)
+            self._due_at[key] = now + self._retention_s + random.uniform(0.0, self._jitter_s)
 
     async def _remove_due(self) -> None:
         now = time.monotonic()
--- a/tests/jobs/test_retention.py
+++ b/tests/jobs/test_retention.py
@@ -12,12 +12,12 @@
 
 
 class Collector:
-    """One process's retention, on a store that it shares with others."""
+    """The retention of one process, on a store that it shares with others."""
 
-    def __init__(self, store, keep_s, is_allowed=lambda: True):
+    def __init__(self, store, retention_s, may_remove=lambda: True):
         self.state = PrefixFollower(store, STATE_PREFIX, lambda key, entry: None, 0.2)
         repository = JobRepository(store, "collector")
-        self.retention = JobRetention(repository, self.state, keep_s, is_allowed, 0.02)
+        self.retention = JobRetention(repository, self.state, retention_s, may_remove, 0.02)
         self.tasks = [
             asyncio.create_task(self.state.run()),
             asyncio.create_task(self.retention.run()),
@@ -59,7 +59,7 @@
 async def test_an_ended_job_is_removed_whole_after_its_time(start):
     store = MemoryStore()
     repository = await make_ended_job(store)
-    start(store, keep_s=0.1)
+    start(store, retention_s=0.1)
     await eventually(lambda: not keys_of(store, "j1"), "removal")
     assert await repository.load("j1") is None
 
@@ -69,10 +69,10 @@
     repository = await make_ended_job(store)
     await repository.create(make_job("j2"), 0)
     ended = await make_ended_job(store, "j3", chunks=1)
-    long_keeper = start(store, keep_s=3600.0)
-    await eventually(lambda: ENDED_PREFIX + "j1" in long_keeper.retention.waiting())
+    long_retention = start(store, retention_s=3600.0)
+    await eventually(lambda: ENDED_PREFIX + "j1" in long_retention.retention.waiting())
     assert await repository.load("j1") is not None
-    start(store, keep_s=0.0)
+    start(store, retention_s=0.0)
     await eventually(lambda: not keys_of(store, "j1") and not keys_of(store, "j3"))
     assert await ended.load("j2") is not None
 
@@ -81,7 +81,7 @@
     store = MemoryStore()
     repository = await make_ended_job(store)
     store.faults.lose_answers = 1
-    start(store, keep_s=0.0)
+    start(store, retention_s=0.0)
     await eventually(lambda: store.faults.lose_answers == 0, "the first answer is lost")
     await eventually(lambda: not keys_of(store, "j1"), "removal")
     assert await repository.load("j1") is None
@@ -92,7 +92,7 @@
     repository = await make_ended_job(store)
     head = "crankseam/job/j1/head"
     removed = [key for key in keys_of(store, "j1")]
-    start(store, keep_s=0.0)
+    start(store, retention_s=0.0)
     await eventually(lambda: not keys_of(store, "j1"), "removal")
     order = [
         change.key for change in store.log if change.key in removed and not hasattr(change, "value")
