--- a/src/crankseam/jobs/acceptance.py
+++ b/src/crankseam/jobs/acceptance.py
@@ -146,7 +146,7 @@
                 await asyncio.sleep(delay)
 
     def _run(self, job: JobDefinition, lease: int) -> None:
-        self._running.own(job.id, lease)
+        self._running.record_ownership(job.id, lease)
         self._running.start(job, [], {})
         runner = self._running.runners.get(job.id)
         if runner is not None:
--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -192,7 +192,7 @@
             "job_taken_over",
             extra={"job": job_id, "chunks": len(stored.chunks), "kept": len(stored.kept)},
         )
-        self._running.own(job_id, lease)
+        self._running.record_ownership(job_id, lease)
         self._running.start(stored.definition, stored.chunks, stored.kept)
         self._start_former_owner_poll(job_id)
         return True
@@ -206,7 +206,7 @@
         await self.take_listed(job_id)
         if job_id not in self._running.runners:
             return True
-        self._running.own(job_id, lease)
+        self._running.record_ownership(job_id, lease)
         self._start_former_owner_poll(job_id)
         return True
 
--- a/src/crankseam/jobs/running.py
+++ b/src/crankseam/jobs/running.py
@@ -1,8 +1,8 @@
-"""The jobs that this process runs, the lease that owns them, and which jobs are over.
+"""Keeps the runners of the jobs in this process, their ownership, and the recently ended jobs.
 
-Owns the runners and their tasks, the lease under which each job was owned, and the ids of the
-newest ended jobs, so that nothing late starts one again. Relies on the process's lease for
-ownership.
+Holds the runners and their tasks, the lease under which this process became the owner of each job,
+and the ids of the most recently ended jobs, so that a delayed submission or claim does not restart
+one. Ownership depends on the process's lease.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from crankseam.jobs.runner import JobRunner
 from crankseam.serving.supervisor import Supervisor
 
-ENDED_MEMORY = 4096
-"""Ended jobs that a process remembers, so that nothing late starts one again."""
+MAX_REMEMBERED_ENDED_JOBS = 4096
+"""Number of ended jobs that a process remembers, so that a delayed submission or claim does not
+restart one."""
 
 
 class RunnerFactory(Protocol):
-    """Makes the runner of a job."""
+    """Creates the runner of a job."""
 
     def __call__(
         self,
@@ -31,19 +32,24 @@
         listed: list[list[ItemResult]],
         kept: dict[str, PartialText],
     ) -> JobRunner:
-        """A runner that goes on from what is listed and kept."""
+        """A runner that resumes from the listed results and the kept partial texts."""
 
 
 class RunningJobs:
-    """Runners by job.
+    """The jobs that run in this process.
 
     Parameters
     ==========
 
-    make_runner : makes the runner of a job that starts here.
-    lease : this process's lease; ownership hangs on it.
-    reader : takes over what a runner listed when its run stops here.
-    earlier_outputs : keeps the outputs of jobs that end.
+    make_runner : creates the runner of a job that starts here.
+    lease : this process's lease, on which ownership depends.
+    reader : caches the listed results of a run that stops here.
+    earlier_outputs : retains the outputs of jobs that end.
+
+    Attributes
+    ==========
+
+    runners : the runners by job id.
     """
 
     def __init__(
@@ -61,26 +67,29 @@
         self._supervisor = supervisor
         self.runners: dict[str, JobRunner] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._owned_under: dict[str, int] = {}
-        """Lease under which this process became a job's owner, by job."""
+        self._owner_leases: dict[str, int] = {}
+        """Lease under which this process became a job's owner, by job id."""
         self._ended: OrderedDict[str, None] = OrderedDict()
 
     # --- ownership
 
-    def own(self, job_id: str, lease: int) -> None:
-        """Note that this process became the owner under a lease."""
-        self._owned_under[job_id] = lease
+    def record_ownership(self, job_id: str, lease: int) -> None:
+        """Record that this process became the job's owner under a lease."""
+        self._owner_leases[job_id] = lease
 
     def was_owned(self, job_id: str) -> bool:
-        """Whether this process became the job's owner, under whichever lease."""
-        return job_id in self._owned_under
+        """Whether this process became the job's owner under any lease."""
+        return job_id in self._owner_leases
 
     def is_owned_under_current_lease(self, job_id: str) -> bool:
-        """Whether the newest lease of this process is the one that owns the job."""
-        return self._owned_under.get(job_id) == self._lease.number
+        """Whether this process became the job's owner under its current lease."""
+        return self._owner_leases.get(job_id) == self._lease.number
 
     def is_owner(self, job_id: str) -> bool:
-        """Whether nobody else can have listed results of this job."""
+        """Whether this process owns the job under a lease that it still holds.
+
+        As long as it does, no other process can have listed results of the job.
+        """
         return self.is_owned_under_current_lease(job_id) and self._lease.is_held()
 
     # --- runs
@@ -92,7 +101,7 @@
         kept: dict[str, PartialText],
         accepted: bool = True,
     ) -> None:
-        """Run a job, unless it runs already or is over."""
+        """Start a job's run, unless the job already runs here or has ended."""
         if job.id in self.runners or job.id in self._ended:
             return
         runner = self._make_runner(job, listed, kept)
@@ -102,9 +111,9 @@
         self._tasks[job.id] = self._supervisor.once(runner.run, f"job {job.id}")
 
     def stop(self, job_id: str) -> JobRunner | None:
-        """Stop a run and give up its ownership; the runner, if there was one."""
+        """Stop a run and give up the job's ownership; returns the runner, if there was one."""
         runner = self.runners.pop(job_id, None)
-        self._owned_under.pop(job_id, None)
+        self._owner_leases.pop(job_id, None)
         task = self._tasks.pop(job_id, None)
         if task is not None:
             task.cancel()
@@ -114,7 +123,7 @@
         return runner
 
     def drop_unaccepted(self, job_id: str) -> bool:
-        """Stop the run of a job that was not accepted here; whether there was one."""
+        """Stop the speculative run of a job that was not accepted; False if there is none."""
         runner = self.runners.get(job_id)
         if runner is None or runner.accepted.is_set():
             return False
@@ -124,14 +133,14 @@
     # --- ends
 
     def end(self, job_id: str) -> None:
-        """Stop a run for good."""
+        """Stop the run of an ended job, retain its outputs, and prevent a restart."""
         self._ended[job_id] = None
-        while len(self._ended) > ENDED_MEMORY:
+        while len(self._ended) > MAX_REMEMBERED_ENDED_JOBS:
             self._ended.popitem(last=False)
         runner = self.stop(job_id)
         if runner is not None:
             self._earlier_outputs.keep(runner.job, runner.outputs())
 
     def has_ended(self, job_id: str) -> bool:
-        """Whether this process saw the job's end."""
+        """Whether the job is among the ended jobs that this process remembers."""
         return job_id in self._ended
