--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -1,8 +1,8 @@
-"""Jobs as callers see them: accept, read, end.
+"""The operations on jobs that callers use: accept, read and end.
 
-Owns the jobs of one process and wires their parts: the lease, the follower of the jobs' states,
-claims, runs, reads. Relies on the coordination store for everything that must last; a job that this
-process does not own is read from its owner or from the store.
+Connects the components that manage the jobs of one process: its lease, the follower of the job
+state prefix, claims, runs and reads. All durable state is in the coordination store. A job that
+this process does not own is read from its owner or from the store.
 """
 
 from __future__ import annotations
@@ -35,13 +35,14 @@
 
 
 class JobService:
-    """The jobs of one process.
+    """Accepts, runs, reads and ends jobs in one process.
 
     Args:
-        maker: makes the items' results.
-        find_route: a job's route in the newest configuration.
-        watched: where watches are asked, if not of the store itself.
-        owners: asks other processes for what they own, if they can be asked.
+        maker: produces the items' results.
+        find_route: looks up a job's route in the newest configuration.
+        watched_store: where prefixes are watched, if not directly at the store.
+        owner_client: queries the owners of jobs; None reads the jobs of other processes from the
+            store only.
     """
 
     def __init__(
@@ -53,15 +54,15 @@
         find_route: RouteFinder,
         supervisor: Supervisor,
         watch_wait_s: float = WATCH_S,
-        watched: WatchedStore | None = None,
-        owners: OwnerClient | None = None,
+        watched_store: WatchedStore | None = None,
+        owner_client: OwnerClient | None = None,
     ) -> None:
         self._repository = JobRepository(store, process)
         self._dispatcher = dispatcher
         self._maker = maker
         self._find_route = find_route
         self._supervisor = supervisor
-        self._owners = owners
+        self._owner_client = owner_client
         self._reader = JobReader(self._repository)
         self.lease = ProcessLease(store)
         self._earlier_outputs = EarlierOutputs()
@@ -72,7 +73,7 @@
             store, self.lease, process, dispatcher.paces, dispatcher.knows
         )
         self.state = PrefixFollower(
-            watched or store, STATE_PREFIX, self._state_changed, watch_wait_s
+            watched_store or store, STATE_PREFIX, self._state_changed, watch_wait_s
         )
         self.claims = JobClaims(
             self._repository, self.lease, self.running, supervisor, process, self.state
@@ -120,14 +121,14 @@
             self.claims.state_changed(key, entry)
 
     def start(self) -> None:
-        """Start the background work."""
+        """Start the background tasks."""
         self._supervisor.keep(self.lease.run, "lease")
         self._supervisor.keep(self.state.run, "follow jobs")
         self._supervisor.keep(self._dispatcher.run, "dispatch")
         self._supervisor.keep(self.pace_sharing.run, "paces")
 
     def running_count(self) -> int:
-        """How many jobs this process runs."""
+        """Number of jobs that run in this process."""
         return len(self.running.runners)
 
     def has_room(self, items: int) -> bool:
@@ -138,11 +139,11 @@
     # --- accept and end
 
     async def submit(self, job: JobDefinition, deadline: float) -> None:
-        """Accept a job; returns once it lasts. See JobAcceptance.submit."""
+        """Accept a job; returns once it is stored durably. See JobAcceptance.submit."""
         await self._acceptance.submit(job, deadline)
 
     async def end(self, job_id: str, tenant: str = NO_TENANT) -> None:
-        """End a job of a tenant.
+        """End a job of a tenant; idempotent.
 
         Raises:
             JobUnknown: there is no such job.
@@ -159,14 +160,14 @@
     # --- read
 
     async def read(self, job_id: str, position: int, wait_s: float) -> tuple[int, list[ItemResult]]:
-        """The number of items and the results listed from a position on.
+        """Number of items, and the listed results from a position on.
 
         Args:
-            wait_s: how long to wait for a result there if none is listed.
+            wait_s: seconds to wait for a result at this position if none is listed.
 
         Raises:
             JobUnknown: there is no such job.
-            KeyValueError: this process can't be sure of what is listed.
+            KeyValueError: the job can't be read, from this process, its owner or the store.
         """
         runner = self.running.runners.get(job_id)
         if runner is not None and self.is_owner(job_id):
@@ -176,20 +177,20 @@
             if len(results) > position or self.is_owner(job_id):
                 return len(runner.job.items), results[position:]
         owner = self.claims.other_owner(job_id)
-        if owner is not None and self._owners is not None:
-            answer = await self._owners.results(owner, job_id, position, wait_s)
+        if owner is not None and self._owner_client is not None:
+            answer = await self._owner_client.results(owner, job_id, position, wait_s)
             if answer is not None:
                 return answer
         return await self._reader.read(job_id, position, wait_s)
 
     async def item(self, job_id: str, item_id: str) -> ItemDefinition:
-        """An item's definition; raises JobUnknown if there is no such job or item."""
+        """The definition of an item; raises JobUnknown if there is no such job or item."""
         runner = self.running.runners.get(job_id)
         if runner is not None and not runner.accepted.is_set():
             runner = None
         owner = self.claims.other_owner(job_id)
-        if runner is None and owner is not None and self._owners is not None:
-            found = await self._owners.item(owner, job_id, item_id)
+        if runner is None and owner is not None and self._owner_client is not None:
+            found = await self._owner_client.item(owner, job_id, item_id)
             if found is not None:
                 return found
         definition = runner.job if runner else await self._reader.definition(job_id)
@@ -199,12 +200,15 @@
         raise JobUnknown(item_id)
 
     def is_owner(self, job_id: str) -> bool:
-        """Whether this process knows all that is listed of a job, but for the last moments."""
+        """Whether this process owns a job and knows its listed results.
+
+        Results that were listed a moment ago may be missing; see ResultListing.is_certain.
+        """
         runner = self.running.runners.get(job_id)
         return runner is not None and runner.listing.is_certain() and self.running.is_owner(job_id)
 
     async def stop(self) -> None:
-        """Hand the jobs over: others claim them when the lease is ended."""
+        """Hand the jobs over: end the lease, so that other processes claim them."""
         self.claims.active = False
         for job_id, runner in list(self.running.runners.items()):
             if runner.accepted.is_set():
--- a/tests/jobs/test_earlier_outputs.py
+++ b/tests/jobs/test_earlier_outputs.py
@@ -6,7 +6,7 @@
 from crankseam.jobs.earlier_outputs import MAX_RETAINED_JOBS, EarlierOutputs, JobOutputs
 from crankseam.jobs.model import ItemResult, PartialText
 from tests.jobs.factories import events, make_job
-from tests.jobs.test_service import all_results, cluster, soon
+from tests.jobs.test_service import all_results, cluster, short_deadline
 from tests.support.waiting import eventually
 
 __all__ = ["cluster"]
@@ -88,14 +88,14 @@
     samplers.scripts = [events(1, 4)]
     job = make_job()
     samplers.hold = asyncio.Event()
-    await process.jobs.submit(job, soon())
+    await process.jobs.submit(job, short_deadline())
     results = await all_results(process.jobs, "j1", 1)
     running = process.jobs.running.runners["j1"]
     await eventually(lambda: len(running.outputs().partial) == 2)
     await process.jobs.end("j1")
     sent_before = len(samplers.attempts)
     samplers.hold.set()
-    await process.jobs.submit(again(job), soon())
+    await process.jobs.submit(again(job), short_deadline())
     later = await all_results(process.jobs, "j2")
     assert results[0] in later
     sent = {(item_id, after) for _, item_id, after in samplers.attempts[sent_before:]}
--- a/tests/jobs/test_peer_reads.py
+++ b/tests/jobs/test_peer_reads.py
@@ -39,7 +39,7 @@
             make_maker(dispatcher, samplers),
             lambda job: make_route(),
             self.supervisor,
-            owners=self.peer_reads,
+            owner_client=self.peer_reads,
         )
         self.peer_reads.answer_for(self.jobs)
         processes[name] = self
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -21,7 +21,7 @@
 
 
 class Process:
-    """One process's jobs, on a store that it shares with others."""
+    """A process with its jobs, on a store that it shares with others."""
 
     def __init__(self, store, name, samplers):
         self.supervisor = Supervisor()
@@ -61,7 +61,7 @@
         await process.kill()
 
 
-def soon():
+def short_deadline():
     return time.monotonic() + 5.0
 
 
@@ -76,7 +76,7 @@
 async def test_every_process_reads_the_same_results(cluster):
     store, _, start = cluster
     owner, other = await start("a"), await start("b")
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     at_owner = await all_results(owner.jobs)
     at_other = await all_results(other.jobs)
     assert at_owner == at_other
@@ -89,7 +89,7 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await eventually(lambda: "crankseam/job/j1/progress" in store.entries, "saved progress")
     await owner.kill()
     await eventually(lambda: "j1" in other.jobs.running.runners, "take-over")
@@ -104,7 +104,7 @@
     owner, other = await start("a"), await start("b")
     other.jobs.claims.active = False
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await eventually(lambda: len(samplers.attempts) == 3)
     store.faults.down = True
     samplers.hold.set()
@@ -125,7 +125,7 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await eventually(lambda: len(samplers.attempts) == 3)
     await asyncio.sleep(0.05)
     await owner.jobs.stop()
@@ -139,7 +139,7 @@
     store, samplers, start = cluster
     draining, other = await start("a"), await start("b")
     await draining.jobs.stop()
-    await draining.jobs.submit(make_job(), soon())
+    await draining.jobs.submit(make_job(), short_deadline())
     assert not draining.jobs.running.runners, "it would be cut off by the process's end"
     await eventually(lambda: "j1" in other.jobs.running.runners, "the claim of another")
     assert store.entries["crankseam/state/owner/j1"].value == b"b"
@@ -165,7 +165,7 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await other.jobs.end("j1")
     await other.jobs.end("j1")
     await eventually(lambda: "j1" not in owner.jobs.running.runners, "the owner's stop")
@@ -178,8 +178,8 @@
 async def test_a_job_sent_again_elsewhere_runs_once(cluster):
     _, samplers, start = cluster
     first, second = await start("a"), await start("b")
-    await first.jobs.submit(make_job(), soon())
-    await second.jobs.submit(make_job(), soon())
+    await first.jobs.submit(make_job(), short_deadline())
+    await second.jobs.submit(make_job(), short_deadline())
     await all_results(second.jobs)
     assert len(samplers.attempts) == 3
 
@@ -239,7 +239,7 @@
     store, samplers, start = cluster
     owner = await start("a")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     store.faults.down = True
     await eventually(lambda: not owner.jobs.lease.is_held())
     with pytest.raises(KeyValueError):
@@ -254,7 +254,7 @@
     store, samplers, start = cluster
     owner = await start("a")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     old_lease = owner.jobs.lease.number
     await owner.kill()
     again = await start("a")
@@ -275,7 +275,7 @@
         await answered.wait()
 
     owner.jobs._repository.append = append_without_answer
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     seen = await all_results(other.jobs, count=3)
     await eventually(lambda: not owner.jobs.is_owner("j1"), "doubt")
     assert (await owner.jobs.read("j1", 0, 0.0))[1] == seen
@@ -287,7 +287,7 @@
     store, samplers, start = cluster
     owner = await start("a")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
 
     async def refused(job_id, number, results):
         raise KeyValueUnavailable("refused")
@@ -302,7 +302,7 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await owner.kill()
     await eventually(lambda: other.jobs.is_owner("j1"), "take-over")
 
