--- a/src/crankseam/jobs/__init__.py
+++ b/src/crankseam/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: many generations handed in together, run later, read in a fixed order."""
+"""Batch jobs: generations that are submitted together, run asynchronously, and read in order."""
