--- a/tests/jobs/factories.py
+++ b/tests/jobs/factories.py
@@ -1,4 +1,4 @@
-"""Jobs and samplers for tests."""
+"""Factories of jobs, routes and samplers for tests."""
 
 import asyncio
 
@@ -48,10 +48,10 @@
 
 
 class ScriptedSamplers:
-    """A generation client whose runs tests script: each attempt takes the next script.
+    """A generation client that plays scripts: each attempt consumes the next script.
 
-    A script is a list of GeneratedEvents, numbers (seconds to wait) and exceptions to raise.
-    Without scripts an attempt makes events up to `length` under `version`.
+    A script is a list of GeneratedEvents, numbers (seconds to sleep) and exceptions to raise.
+    Without a script, an attempt generates events up to number `length` under `version`.
     """
 
     def __init__(self, length=4, version=1):
@@ -60,7 +60,7 @@
         self.scripts = []
         self.attempts = []
         self.hold = None
-        """An event that runs wait for after their second event, if set."""
+        """If set, an asyncio event for which each attempt without a script waits after event 2."""
 
     async def generate(self, back_end, job, item, after, limit):
         self.attempts.append((back_end.record.id, item.id, after))
@@ -81,12 +81,16 @@
 
 
 class ScriptedScorers:
-    """A scoring client whose calls tests script: a signature, an exception, or seconds to wait."""
+    """A scoring client that plays a script per call.
+
+    A script is a signature to return, an exception to raise, or a float (seconds to sleep before
+    a late answer).
+    """
 
     def __init__(self):
         self.scripts = []
         self.calls = []
-        """Back end and scoring request of each call."""
+        """Ids of the back end and of the scoring request of each call."""
 
     async def score(self, back_end, request, deadline):
         self.calls.append((back_end.record.id, request.id))
@@ -100,7 +104,7 @@
 
 
 def make_maker(dispatcher, samplers, scorers=None, find_route=lambda job: make_route()):
-    """An ItemMaker whose scoring requests go to the samplers' service."""
+    """An ItemMaker whose scoring requests go to the same service as its generations."""
     splitter = TrafficSplitter()
     guard = make_guard(make_registry())
     scorer = ItemScorer(
