--- a/tests/jobs/test_job_machine.py
+++ b/tests/jobs/test_job_machine.py
@@ -1,4 +1,7 @@
-"""Two runners of one job, with lost and late answers: what was listed stays as it was."""
+"""Two runners list results of one job while the store loses or delays answers.
+
+Guards against a listed result that changes its position, or an item that is listed twice.
+"""
 
 import asyncio
 
@@ -17,7 +20,7 @@
 
 
 class Listing(RuleBasedStateMachine):
-    """Each runner lists as JobRunner does: chunk by chunk, knowing all earlier ones."""
+    """Each runner lists as JobRunner does: chunk by chunk, with all earlier chunks known."""
 
     def __init__(self):
         super().__init__()
