--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -41,8 +41,8 @@
         maker: produces the items' results.
         find_route: looks up a job's route in the newest configuration.
         watched_store: where prefixes are watched, if not directly at the store.
-        owner_client: queries the owners of jobs; None reads the jobs of other processes from the
-            store only.
+        owner_client: queries the owners of jobs; if None, jobs of other processes are read from the
+            store.
     """
 
     def __init__(
@@ -167,7 +167,8 @@
 
         Raises:
             JobUnknown: there is no such job.
-            KeyValueError: the job can't be read, from this process, its owner or the store.
+            KeyValueError: this process is not certain of the listed results, and neither the job's
+                owner nor the store answered.
         """
         runner = self.running.runners.get(job_id)
         if runner is not None and self.is_owner(job_id):
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -96,7 +96,7 @@
     samplers.hold.set()
     results = await all_results(other.jobs)
     assert len({result.id for result in results}) == 3
-    assert {after for _, _, after in samplers.attempts} == {0, 2}, "resumed, not run anew"
+    assert {after for _, _, after in samplers.attempts} == {0, 2}, "resumed, not restarted"
 
 
 async def test_results_that_the_former_owner_had_finished_are_not_made_again(cluster):
@@ -118,7 +118,7 @@
     store.faults.down = False
     await eventually(lambda: "j1" not in owner.jobs.running.runners, "the job is lost")
     assert len(await all_results(other.jobs)) == 3
-    assert len(samplers.attempts) == made, "made once"
+    assert len(samplers.attempts) == made, "each result is generated once"
 
 
 async def test_a_planned_stop_hands_the_texts_over(cluster):
@@ -140,8 +140,8 @@
     draining, other = await start("a"), await start("b")
     await draining.jobs.stop()
     await draining.jobs.submit(make_job(), short_deadline())
-    assert not draining.jobs.running.runners, "it would be cut off by the process's end"
-    await eventually(lambda: "j1" in other.jobs.running.runners, "the claim of another")
+    assert not draining.jobs.running.runners, "the end of the process would interrupt the run"
+    await eventually(lambda: "j1" in other.jobs.running.runners, "another process claims the job")
     assert store.entries["crankseam/state/owner/j1"].value == b"b"
     assert len(await all_results(other.jobs)) == 3
     assert len(await all_results(draining.jobs)) == 3, "it still reads for its callers"
@@ -152,12 +152,12 @@
     draining, other = await start("a"), await start("b")
     store.faults.down = True
     submitting = asyncio.create_task(draining.jobs.submit(make_job(), time.monotonic() + 20))
-    await eventually(lambda: "j1" in draining.jobs.running.runners, "running ahead")
+    await eventually(lambda: "j1" in draining.jobs.running.runners, "the speculative start")
     await draining.jobs.stop()
     store.faults.down = False
     await submitting
     assert not draining.jobs.running.runners
-    await eventually(lambda: "j1" in other.jobs.running.runners, "the claim of another")
+    await eventually(lambda: "j1" in other.jobs.running.runners, "another process claims the job")
     assert len(await all_results(other.jobs)) == 3
 
 
@@ -168,7 +168,7 @@
     await owner.jobs.submit(make_job(), short_deadline())
     await other.jobs.end("j1")
     await other.jobs.end("j1")
-    await eventually(lambda: "j1" not in owner.jobs.running.runners, "the owner's stop")
+    await eventually(lambda: "j1" not in owner.jobs.running.runners, "the owner stops the run")
     total, _ = await owner.jobs.read("j1", 0, 0.0)
     assert total == 3
     with pytest.raises(JobUnknown):
@@ -201,7 +201,7 @@
     process = await start("a")
     store.faults.down = True
     submitting = asyncio.create_task(process.jobs.submit(make_job(), time.monotonic() + 20))
-    await eventually(lambda: len(samplers.attempts) == 3, "running ahead")
+    await eventually(lambda: len(samplers.attempts) == 3, "the speculative start")
     assert not submitting.done()
     with pytest.raises(KeyValueError):
         await process.jobs.read("j1", 0, 0.0)
@@ -229,7 +229,7 @@
     samplers.hold = asyncio.Event()
     store.faults.down = True
     submitting = asyncio.create_task(process.jobs.submit(make_job(), time.monotonic() + 20))
-    await eventually(lambda: len(samplers.attempts) == 3, "running ahead")
+    await eventually(lambda: len(samplers.attempts) == 3, "the speculative start")
     submitting.cancel()
     await asyncio.gather(submitting, return_exceptions=True)
     assert not process.jobs.running.runners
@@ -277,10 +277,10 @@
     owner.jobs._repository.append = append_without_answer
     await owner.jobs.submit(make_job(), short_deadline())
     seen = await all_results(other.jobs, count=3)
-    await eventually(lambda: not owner.jobs.is_owner("j1"), "doubt")
+    await eventually(lambda: not owner.jobs.is_owner("j1"), "the owner becomes uncertain")
     assert (await owner.jobs.read("j1", 0, 0.0))[1] == seen
     answered.set()
-    await eventually(lambda: owner.jobs.is_owner("j1"), "certainty")
+    await eventually(lambda: owner.jobs.is_owner("j1"), "the owner is certain again")
 
 
 async def test_an_owner_that_knows_its_listing_failed_goes_on_speaking_for_the_store(cluster):
@@ -310,4 +310,4 @@
         await asyncio.Event().wait()
 
     other.jobs._repository.read_chunks = no_answer
-    await eventually(lambda: not other.jobs.is_owner("j1"), "doubt")
+    await eventually(lambda: not other.jobs.is_owner("j1"), "the owner becomes uncertain")
