--- a/tests/jobs/test_demand.py
+++ b/tests/jobs/test_demand.py
@@ -32,11 +32,11 @@
     assert demand.needed_version("m") == 4 and demand.needed_version("other") is None
 
 
-def test_the_work_of_a_model_is_what_its_newest_job_that_knows_says():
+def test_the_work_of_a_model_uses_the_newest_known_item_seconds():
     demand = ModelDemand()
     demand.opened("j1", OpenJob("m", 10))
     assert demand.work_s_of("m") is None
     demand.opened("j2", OpenJob("m", 10, item_s=1.5))
     demand.ended("j1")
     demand.opened("j3", OpenJob("m", 10))
-    assert demand.work_s_of("m") == 30.0, "twenty items at most were open at once"
+    assert demand.work_s_of("m") == 30.0, "the peak was twenty open items"
--- a/tests/jobs/test_earlier_outputs.py
+++ b/tests/jobs/test_earlier_outputs.py
@@ -100,4 +100,4 @@
     assert results[0] in later
     sent = {(item_id, after) for _, item_id, after in samplers.attempts[sent_before:]}
     others = {item.id for item in job.items} - {results[0].id}
-    assert sent == {(item_id, 2) for item_id in others}, "the finished one is not run again"
+    assert sent == {(item_id, 2) for item_id in others}, "the finished item is not run again"
--- a/tests/jobs/test_listing_moments.py
+++ b/tests/jobs/test_listing_moments.py
@@ -40,7 +40,7 @@
     schedule.finished("a")
     assert not await wait_returns(schedule)
     schedule.finished("b")
-    assert await wait_returns(schedule), "the step may end by these two"
+    assert await wait_returns(schedule), "these two groups can end the step"
 
 
 async def test_later_groups_are_listed_as_they_become_whole():
--- a/tests/jobs/test_peer_reads.py
+++ b/tests/jobs/test_peer_reads.py
@@ -98,7 +98,7 @@
     assert owner.asked and counting_store.reads == reads
 
 
-async def test_a_silent_owner_leaves_the_store(pair):
+async def test_the_store_is_read_when_the_owner_does_not_answer(pair):
     _, samplers, owner, other, counting_store = pair
     owner.silent = True
     reads = counting_store.reads
--- a/tests/jobs/test_repository.py
+++ b/tests/jobs/test_repository.py
@@ -85,7 +85,7 @@
     old, new, others = [await lease_of(store) for _ in range(3)]
     await owner.create(make_job(), old)
     assert not await other.claim("j1", others)
-    assert await owner.claim("j1", new), "the process was started again: its old lease is no owner"
+    assert await owner.claim("j1", new), "after a restart, the old lease does not count as an owner"
     assert store.entries[OWNER_PREFIX + "j1"].lease == new
     store.expire_lease(new)
     assert await other.claim("j1", others)
--- a/tests/jobs/test_result_listing.py
+++ b/tests/jobs/test_result_listing.py
@@ -54,7 +54,7 @@
     assert not listing._pending
 
 
-async def test_each_listed_item_is_told_whoever_listed_it():
+async def test_on_listed_is_called_for_each_listed_item():
     listed_ids = []
     listing = make_listing(on_listed=listed_ids.append)
     listing.add_chunks(0, [[ItemResult("j1-i0", True)], [ItemResult("j1-i2", True)]])
--- a/tests/jobs/test_retention.py
+++ b/tests/jobs/test_retention.py
@@ -102,7 +102,7 @@
     assert repository is not None
 
 
-async def test_only_those_that_are_asked_to_remove(start):
+async def test_only_processes_that_may_remove_jobs_do_so(start):
     store = MemoryStore()
     await make_ended_job(store)
     allowed = False
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -47,14 +47,14 @@
     running = asyncio.create_task(runner.run())
     try:
         await eventually(lambda: "j1-i1" in listed_ids(runner))
-        assert runner.listing.chunks == 1, "one write for what was there"
+        assert runner.listing.chunks == 1, "one write lists all finished results"
         never.set()
         await eventually(lambda: "j1-i3" in listed_ids(runner))
     finally:
         running.cancel()
 
 
-async def test_the_rest_is_listed_only_of_a_job_that_lasts():
+async def test_pending_results_are_listed_only_if_the_job_is_accepted():
     runner = make_runner()
     runner.listing._pending = [ItemResult("j1-i0", True)]
     await runner.list_pending()
