--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -133,7 +133,7 @@
         self._schedule.finished(self._group_by_item[result.id])
 
     async def list_next(self) -> None:
-        """Wait until the schedule allows it, then list all pending results."""
+        """Wait until the schedule says so, then list the pending results."""
         await self._schedule.wait()
         await self._list_batch()
 
@@ -147,7 +147,7 @@
             await self._list_batch()
 
     async def _list_batch(self) -> None:
-        """Retry until all pending results are listed, by this process or another."""
+        """List the currently pending results; retries until this or another process has done so."""
         batch = self._unlisted(self._pending)
         backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         outcome_unknown = False
