--- a/tests/jobs/test_demand.py
+++ b/tests/jobs/test_demand.py
@@ -1,5 +1,5 @@
 from crankseam.jobs import demand as module
-from crankseam.jobs.demand import REMEMBERED_S, ModelDemand, OpenJob, decode_open_job
+from crankseam.jobs.demand import PEAK_RETENTION_S, ModelDemand, OpenJob, decode_open_job
 from tests.support.clock import FakeClock
 
 
@@ -14,7 +14,7 @@
     demand.ended("j1")
     demand.ended("never seen")
     assert demand.items_of("m") == 100 and demand.items_of("other") == 7
-    clock.now += REMEMBERED_S + 1.0
+    clock.now += PEAK_RETENTION_S + 1.0
     demand.opened("j4", OpenJob("m", 5))
     assert demand.items_of("m") == 45
 
@@ -32,11 +32,11 @@
     assert demand.needed_version("m") == 4 and demand.needed_version("other") is None
 
 
-def test_the_work_of_a_model_is_what_its_newest_job_that_knows_says():
+def test_the_work_of_a_model_uses_the_newest_known_item_seconds():
     demand = ModelDemand()
     demand.opened("j1", OpenJob("m", 10))
     assert demand.work_s_of("m") is None
     demand.opened("j2", OpenJob("m", 10, item_s=1.5))
     demand.ended("j1")
     demand.opened("j3", OpenJob("m", 10))
-    assert demand.work_s_of("m") == 30.0, "twenty items at most were open at once"
+    assert demand.work_s_of("m") == 30.0, "the peak was twenty open items"
--- a/tests/jobs/test_repository.py
+++ b/tests/jobs/test_repository.py
@@ -25,7 +25,7 @@
 
 
 async def test_a_job_larger_than_a_value_is_cut_and_joined(monkeypatch):
-    monkeypatch.setattr("crankseam.jobs.repository.PART_BYTES", 50)
+    monkeypatch.setattr("crankseam.jobs.repository.MAX_VALUE_BYTES", 50)
     store = MemoryStore()
     repository = JobRepository(store, "a")
     job = make_job(items=20)
@@ -85,7 +85,7 @@
     old, new, others = [await lease_of(store) for _ in range(3)]
     await owner.create(make_job(), old)
     assert not await other.claim("j1", others)
-    assert await owner.claim("j1", new), "the process was started again: its old lease is no owner"
+    assert await owner.claim("j1", new), "after a restart, the old lease does not count as an owner"
     assert store.entries[OWNER_PREFIX + "j1"].lease == new
     store.expire_lease(new)
     assert await other.claim("j1", others)
@@ -105,7 +105,7 @@
 
 
 async def test_progress_that_does_not_fit_leaves_out_the_longest(monkeypatch):
-    monkeypatch.setattr("crankseam.jobs.repository.PART_BYTES", 50)
+    monkeypatch.setattr("crankseam.jobs.repository.MAX_VALUE_BYTES", 50)
     store = MemoryStore()
     repository = JobRepository(store, "a")
     texts = {"long": PartialText(["x" * 30] * 2, [1]), "short": PartialText(["x" * 30], [1])}
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -27,7 +27,7 @@
 
 
 async def test_a_whole_group_is_listed_at_once_and_a_part_of_one_later(monkeypatch):
-    monkeypatch.setattr("crankseam.jobs.listing_moments.SELDOM_LISTED_S", 1000.0)
+    monkeypatch.setattr("crankseam.jobs.listing_moments.MAX_LISTING_DELAY_S", 1000.0)
     job = make_job(items=4)
     groups = ["g1", "g1", "g2", "g2"]
     items = [
@@ -38,27 +38,27 @@
     runner.accepted.set()
     never = asyncio.Event()
 
-    async def result_of(index, item):
+    async def make_result(index, item):
         if index == 3:
             await never.wait()
         return ItemResult(item.id, True)
 
-    monkeypatch.setattr(runner, "_result_of", result_of)
+    monkeypatch.setattr(runner, "_make_result", make_result)
     running = asyncio.create_task(runner.run())
     try:
         await eventually(lambda: "j1-i1" in listed_ids(runner))
-        assert runner.listing.chunks == 1, "one write for what was there"
+        assert runner.listing.chunks == 1, "one write lists all finished results"
         never.set()
         await eventually(lambda: "j1-i3" in listed_ids(runner))
     finally:
         running.cancel()
 
 
-async def test_the_rest_is_listed_only_of_a_job_that_lasts():
+async def test_pending_results_are_listed_only_if_the_job_is_accepted():
     runner = make_runner()
     runner.listing._pending = [ItemResult("j1-i0", True)]
-    await runner.list_rest()
+    await runner.list_pending()
     assert runner.listing.chunks == 0
     runner.accepted.set()
-    await runner.list_rest()
+    await runner.list_pending()
     assert runner.listing.chunks == 1 and not runner.listing._pending
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -21,7 +21,7 @@
 
 
 class Process:
-    """One process's jobs, on a store that it shares with others."""
+    """A process with its jobs, on a store that it shares with others."""
 
     def __init__(self, store, name, samplers):
         self.supervisor = Supervisor()
@@ -61,7 +61,7 @@
         await process.kill()
 
 
-def soon():
+def short_deadline():
     return time.monotonic() + 5.0
 
 
@@ -76,7 +76,7 @@
 async def test_every_process_reads_the_same_results(cluster):
     store, _, start = cluster
     owner, other = await start("a"), await start("b")
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     at_owner = await all_results(owner.jobs)
     at_other = await all_results(other.jobs)
     assert at_owner == at_other
@@ -89,14 +89,14 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await eventually(lambda: "crankseam/job/j1/progress" in store.entries, "saved progress")
     await owner.kill()
     await eventually(lambda: "j1" in other.jobs.running.runners, "take-over")
     samplers.hold.set()
     results = await all_results(other.jobs)
     assert len({result.id for result in results}) == 3
-    assert {after for _, _, after in samplers.attempts} == {0, 2}, "resumed, not run anew"
+    assert {after for _, _, after in samplers.attempts} == {0, 2}, "resumed, not restarted"
 
 
 async def test_results_that_the_former_owner_had_finished_are_not_made_again(cluster):
@@ -104,7 +104,7 @@
     owner, other = await start("a"), await start("b")
     other.jobs.claims.active = False
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await eventually(lambda: len(samplers.attempts) == 3)
     store.faults.down = True
     samplers.hold.set()
@@ -118,14 +118,14 @@
     store.faults.down = False
     await eventually(lambda: "j1" not in owner.jobs.running.runners, "the job is lost")
     assert len(await all_results(other.jobs)) == 3
-    assert len(samplers.attempts) == made, "made once"
+    assert len(samplers.attempts) == made, "each result is generated once"
 
 
 async def test_a_planned_stop_hands_the_texts_over(cluster):
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await eventually(lambda: len(samplers.attempts) == 3)
     await asyncio.sleep(0.05)
     await owner.jobs.stop()
@@ -139,9 +139,9 @@
     store, samplers, start = cluster
     draining, other = await start("a"), await start("b")
     await draining.jobs.stop()
-    await draining.jobs.submit(make_job(), soon())
-    assert not draining.jobs.running.runners, "it would be cut off by the process's end"
-    await eventually(lambda: "j1" in other.jobs.running.runners, "the claim of another")
+    await draining.jobs.submit(make_job(), short_deadline())
+    assert not draining.jobs.running.runners, "the end of the process would interrupt the run"
+    await eventually(lambda: "j1" in other.jobs.running.runners, "another process claims the job")
     assert store.entries["crankseam/state/owner/j1"].value == b"b"
     assert len(await all_results(other.jobs)) == 3
     assert len(await all_results(draining.jobs)) == 3, "it still reads for its callers"
@@ -152,12 +152,12 @@
     draining, other = await start("a"), await start("b")
     store.faults.down = True
     submitting = asyncio.create_task(draining.jobs.submit(make_job(), time.monotonic() + 20))
-    await eventually(lambda: "j1" in draining.jobs.running.runners, "running ahead")
+    await eventually(lambda: "j1" in draining.jobs.running.runners, "the speculative start")
     await draining.jobs.stop()
     store.faults.down = False
     await submitting
     assert not draining.jobs.running.runners
-    await eventually(lambda: "j1" in other.jobs.running.runners, "the claim of another")
+    await eventually(lambda: "j1" in other.jobs.running.runners, "another process claims the job")
     assert len(await all_results(other.jobs)) == 3
 
 
@@ -165,10 +165,10 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await other.jobs.end("j1")
     await other.jobs.end("j1")
-    await eventually(lambda: "j1" not in owner.jobs.running.runners, "the owner's stop")
+    await eventually(lambda: "j1" not in owner.jobs.running.runners, "the owner stops the run")
     total, _ = await owner.jobs.read("j1", 0, 0.0)
     assert total == 3
     with pytest.raises(JobUnknown):
@@ -178,8 +178,8 @@
 async def test_a_job_sent_again_elsewhere_runs_once(cluster):
     _, samplers, start = cluster
     first, second = await start("a"), await start("b")
-    await first.jobs.submit(make_job(), soon())
-    await second.jobs.submit(make_job(), soon())
+    await first.jobs.submit(make_job(), short_deadline())
+    await second.jobs.submit(make_job(), short_deadline())
     await all_results(second.jobs)
     assert len(samplers.attempts) == 3
 
@@ -201,7 +201,7 @@
     process = await start("a")
     store.faults.down = True
     submitting = asyncio.create_task(process.jobs.submit(make_job(), time.monotonic() + 20))
-    await eventually(lambda: len(samplers.attempts) == 3, "running ahead")
+    await eventually(lambda: len(samplers.attempts) == 3, "the speculative start")
     assert not submitting.done()
     with pytest.raises(KeyValueError):
         await process.jobs.read("j1", 0, 0.0)
@@ -229,7 +229,7 @@
     samplers.hold = asyncio.Event()
     store.faults.down = True
     submitting = asyncio.create_task(process.jobs.submit(make_job(), time.monotonic() + 20))
-    await eventually(lambda: len(samplers.attempts) == 3, "running ahead")
+    await eventually(lambda: len(samplers.attempts) == 3, "the speculative start")
     submitting.cancel()
     await asyncio.gather(submitting, return_exceptions=True)
     assert not process.jobs.running.runners
@@ -239,7 +239,7 @@
     store, samplers, start = cluster
     owner = await start("a")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     store.faults.down = True
     await eventually(lambda: not owner.jobs.lease.is_held())
     with pytest.raises(KeyValueError):
@@ -254,7 +254,7 @@
     store, samplers, start = cluster
     owner = await start("a")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     old_lease = owner.jobs.lease.number
     await owner.kill()
     again = await start("a")
@@ -275,19 +275,19 @@
         await answered.wait()
 
     owner.jobs._repository.append = append_without_answer
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     seen = await all_results(other.jobs, count=3)
-    await eventually(lambda: not owner.jobs.is_owner("j1"), "doubt")
+    await eventually(lambda: not owner.jobs.is_owner("j1"), "the owner becomes uncertain")
     assert (await owner.jobs.read("j1", 0, 0.0))[1] == seen
     answered.set()
-    await eventually(lambda: owner.jobs.is_owner("j1"), "certainty")
+    await eventually(lambda: owner.jobs.is_owner("j1"), "the owner is certain again")
 
 
 async def test_an_owner_that_knows_its_listing_failed_goes_on_speaking_for_the_store(cluster):
     store, samplers, start = cluster
     owner = await start("a")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
 
     async def refused(job_id, number, results):
         raise KeyValueUnavailable("refused")
@@ -302,12 +302,12 @@
     store, samplers, start = cluster
     owner, other = await start("a"), await start("b")
     samplers.hold = asyncio.Event()
-    await owner.jobs.submit(make_job(), soon())
+    await owner.jobs.submit(make_job(), short_deadline())
     await owner.kill()
     await eventually(lambda: other.jobs.is_owner("j1"), "take-over")
 
-    async def no_answer(job_id, known):
+    async def no_answer(job_id, first_number):
         await asyncio.Event().wait()
 
     other.jobs._repository.read_chunks = no_answer
-    await eventually(lambda: not other.jobs.is_owner("j1"), "doubt")
+    await eventually(lambda: not other.jobs.is_owner("j1"), "the owner becomes uncertain")
