--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -1,14 +1,17 @@
-"""Which of the items that wait for a place goes first, and which ones a step waits for.
-
-Inputs: the job's priority and start (monotonic), the hinted length of the output in tokens, which
-is often far off, and the events that a run has made.
-Rule: smaller ranks go first: by priority, then by start in spans of SAME_TIME_S, then the longer
-hint, then the order of submission. An item is long if its hint is much above its job's median, or
-once its run has made LONG_RUN_EVENTS. Items that have not begun and are not long leave a share of
-each sampler's slots free; scoring requests leave half.
-Protects: the length of a step, which ends with its longest item; callers that use the same back
-ends as scoring requests.
-Shown by: `item_sent`, `scoring_sent`. Held by: tests/jobs/test_urgency.py.
+"""Scheduling order of waiting items, and the share of a sampler's slots that each kind may fill.
+
+Inputs: the job's priority; the time at which the job started in this process (monotonic); the
+hinted output length in tokens, which is often far off; the number of events that a run has
+generated.
+Rule: items are served in ascending order of rank, that is, by priority, then by start time rounded
+down to spans of START_SPAN_S, then by descending length hint, then in order of submission. An item
+counts as long if its hint is well above the median of its job, or once its run has generated
+LONG_RUN_EVENTS events. Items that have not started and are not long leave a share of each sampler's
+slots free; scoring requests leave half of them free.
+Purpose: keeps training steps short, since a step ends with its longest item, and protects callers
+whose requests use the same back ends as scoring requests.
+Logged as: `item_sent`, `scoring_sent`.
+Tested by: tests/jobs/test_urgency.py.
 """
 
 from __future__ import annotations
@@ -18,49 +21,55 @@
 
 from crankseam.jobs.model import ItemDefinition, JobDefinition
 
-SAME_TIME_S = 2.0
-"""Jobs that began within this time share the samplers item by item. Origin not recorded."""
-LONG_FACTOR = 1.5
-"""An item whose hint is this much above its job's median is a long one. Measured together
-with the choice of the fastest samplers: 80 -> 81 of 81 groups in time."""
+START_SPAN_S = 2.0
+"""Jobs whose start times fall into the same span of this length are ranked as if they had started
+together, so that they share the samplers item by item."""
+LONG_HINT_FACTOR = 1.5
+"""An item is expected to be long if its hint exceeds this multiple of its job's median hint.
+Together with the placement of long items on the fastest samplers, this raised the number of groups
+that finished in time from 80 to 81 of 81."""
 LONG_RUN_EVENTS = 12
-"""A run of so many events is likely to be among those that the step waits for. At 24 events runs
-left slow samplers too late. Not measured by itself."""
-FRESH_SLOTS_SHARE = 0.84
-"""Items that have not begun leave the other slots to runs that were broken off, and to long ones:
-those are what a step waits for, and would else wait for a short one's end. Eight played days with
-trouble: worth 0.763 -> 0.790, mean step 7.36 -> 7.15 s (docs/DECISIONS.md)."""
+"""A run that has generated this many events is likely to be one that its step waits for. With 24,
+runs were migrated away from slow samplers too late."""
+NEW_ITEM_SLOTS_SHARE = 0.84
+"""Share of a sampler's slots that items may fill that have not started and are not long. The
+remaining slots are reserved for interrupted runs and long items, which a step waits for and which
+would otherwise queue behind short ones. In eight simulated days with faults, this raised the metric
+`worth` from 0.763 to 0.790 and cut the mean step time from 7.36 to 7.15 s (docs/DECISIONS.md)."""
 SCORING_SLOTS_SHARE = 0.5
-"""Of a back end's slots, scoring requests fill so many at most: callers' requests use the same back
-ends and find the other half free, whatever burst of items ends at once. A choice, not measured."""
+"""Share of a back end's slots that scoring requests may fill. Callers' requests use the same back
+ends, and find the other half free even if many items finish at the same time."""
 
 
 def rank_of(
     job: JobDefinition, started_at: float, item: ItemDefinition, index: int
 ) -> tuple[float, ...]:
-    """The order of an item among all that wait in this process; smaller goes first.
+    """Sort key of an item among all waiting items of this process; the smallest is served first.
 
     Parameters
     ==========
 
-    started_at : monotonic time at which the job began to run here.
-    index : of the item in its job.
+    started_at : monotonic time at which the job started in this process.
+    index : position of the item in its job.
     """
-    begun = started_at // SAME_TIME_S
-    return (float(job.priority), begun, -float(item.length_hint), float(index))
+    start_span = started_at // START_SPAN_S
+    return (float(job.priority), start_span, -float(item.length_hint), float(index))
 
 
 def long_hint(job: JobDefinition) -> float:
-    """Hinted tokens above which an item of a job is expected to be long; infinite without hints."""
+    """Length hint, in tokens, above which an item of a job is expected to be long.
+
+    Infinite if no item of the job has a hint.
+    """
     hints = [item.length_hint for item in job.items if item.length_hint]
-    return LONG_FACTOR * statistics.median(hints) if hints else math.inf
+    return LONG_HINT_FACTOR * statistics.median(hints) if hints else math.inf
 
 
 def is_long_run(events: int) -> bool:
-    """Whether a run that made so many events turns out long."""
+    """Whether a run that has generated this many events counts as long."""
     return events >= LONG_RUN_EVENTS
 
 
 def slots_share(has_begun: bool, is_long: bool) -> float:
-    """What part of a sampler's slots a run may fill."""
-    return 1.0 if has_begun or is_long else FRESH_SLOTS_SHARE
+    """Share of a sampler's slots that runs of this kind may fill."""
+    return 1.0 if has_begun or is_long else NEW_ITEM_SLOTS_SHARE
--- a/tests/jobs/test_urgency.py
+++ b/tests/jobs/test_urgency.py
@@ -1,4 +1,4 @@
-"""The order of waiting items by itself."""
+"""Order of waiting items: rank, long items and shares of slots."""
 
 import math
 
@@ -6,10 +6,10 @@
 import pytest
 
 from crankseam.jobs.urgency import (
-    FRESH_SLOTS_SHARE,
-    LONG_FACTOR,
+    LONG_HINT_FACTOR,
     LONG_RUN_EVENTS,
-    SAME_TIME_S,
+    NEW_ITEM_SLOTS_SHARE,
+    START_SPAN_S,
     is_long_run,
     long_hint,
     rank_of,
@@ -38,9 +38,9 @@
 
 def test_an_earlier_job_goes_first_unless_both_began_in_one_span():
     early, late = job_with([10]), job_with([90])
-    start = 50 * SAME_TIME_S
-    assert ranks(late, start + SAME_TIME_S / 2) < ranks(early, start)
-    assert ranks(early, start) < ranks(late, start + SAME_TIME_S)
+    start = 50 * START_SPAN_S
+    assert ranks(late, start + START_SPAN_S / 2) < ranks(early, start)
+    assert ranks(early, start) < ranks(late, start + START_SPAN_S)
 
 
 def test_priority_goes_before_all():
@@ -49,7 +49,7 @@
 
 
 def test_an_item_is_expected_long_by_the_median_of_the_hints_that_were_told():
-    assert long_hint(job_with([0, 10, 20, 30])) == LONG_FACTOR * 20
+    assert long_hint(job_with([0, 10, 20, 30])) == LONG_HINT_FACTOR * 20
     assert long_hint(job_with([0, 0])) == math.inf
 
 
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(
     ("has_begun", "is_long", "share"),
-    [(False, False, FRESH_SLOTS_SHARE), (True, False, 1.0), (False, True, 1.0)],
+    [(False, False, NEW_ITEM_SLOTS_SHARE), (True, False, 1.0), (False, True, 1.0)],
 )
 def test_items_that_have_not_begun_leave_slots_free_unless_they_are_long(has_begun, is_long, share):
     assert slots_share(has_begun, is_long) == share
