--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from crankseam.jobs.item_retry import DEFAULT_ATTEMPTS, DEFAULT_QUEUE_S
+from crankseam.jobs.item_retry import DEFAULT_MAX_ATTEMPTS, DEFAULT_MAX_QUEUE_S
 from crankseam.jobs.item_run import ItemRun, RunParts, whole_result
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
@@ -36,7 +36,7 @@
     def longest_queue_s(self, job: JobDefinition) -> float:
         """How long after its job was submitted an item may be given up."""
         route = self._find_route(job)
-        return route.longest_queue_s if route is not None else DEFAULT_QUEUE_S
+        return route.longest_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
 
     def due_s(self, job: JobDefinition) -> float:
         """How long after it was submitted a job's results are due."""
@@ -59,7 +59,7 @@
         if not result.completed or item.scoring is None:
             return result
         route = self._find_route(job)
-        attempts = route.max_attempts if route is not None else DEFAULT_ATTEMPTS
+        attempts = route.max_attempts if route is not None else DEFAULT_MAX_ATTEMPTS
         score = await self._scorer.score(job, item, item.scoring, rank, attempts)
         if score is None:
             return ItemResult(item.id, False)
--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -1,98 +1,119 @@
-"""How long an attempt at an item may take, when the next one comes, and when the item is given up.
-
-Inputs: what came of the attempts so far (failures, silences), the route's limits, the time since
-the job began to run here.
-Rule: only a whole answer of failure counts against the route's `max_attempts`; a rejection, a
-broken connection or a silence is tried again, elsewhere if there is another place. An item is
-given up after that many failures, when the sampler says that it can never be done, or when it was
-not whole GIVE_UP_MARGIN_S after the route's `max_queue`. A score goes by the same rule, its limit
-is the larger one of its own route and the job's.
-Protects: a step from a silent sampler, at the price of a run that is resumed without need.
-Shown by: `item_broken`, `item_turned_away`, `item_failed`, `item_impossible`, `item_given_up`; for
-scores `scoring_broken`, `scoring_turned_away`, `scoring_failed`, `scoring_given_up`.
-Held by: tests/jobs/test_item_retry.py, test_item_run.py, tests/platform/test_scoring.py.
+"""Time-outs and retries of attempts at items and scoring requests, and when they are given up.
+
+Inputs: the outcomes of the attempts so far (failures, time-outs); the route's limits; the time
+since the job started in this process.
+Rule: only a complete response that reports a failure counts against the route's `max_attempts`.
+After a rejection, a broken connection or a time-out the item is tried again, at another sampler if
+one has room. An item is given up after `max_attempts` failures, when a sampler reports that it can
+never be completed, or when it is incomplete GIVE_UP_MARGIN_S after the route's `max_queue` has
+passed. Scoring requests follow the same rule, limited by the larger `max_attempts` of their own
+route and the job's route.
+Purpose: a sampler that stops answering does not delay a step; the cost is that some runs are
+resumed elsewhere unnecessarily.
+Logged as: `item_broken`, `item_turned_away`, `item_failed`, `item_impossible`, `item_given_up`; for
+scoring requests `scoring_broken`, `scoring_turned_away`, `scoring_failed`, `scoring_given_up`.
+Tested by: tests/jobs/test_item_retry.py, test_item_run.py, tests/platform/test_scoring.py.
 """
 
 from __future__ import annotations
 
 from crankseam.serving.routes import Route
 
-FIRST_EVENT_S = 2.5
-"""Longest wait for the first event of an attempt: the item may wait in the sampler's queue. Origin
-not recorded."""
-NEXT_EVENT_S = 0.3
-"""Longest silence between two events before the run goes on elsewhere; it doubles with each silence
-of the item. Events of a healthy sampler are 0.04 to 0.06 s apart; one that loads a version stands
-still for 0.9 s. A choice, not measured by itself."""
-LONGEST_SILENCE_S = 2.5
-"""What that doubles up to: as long as the wait for a first event. Origin not recorded."""
-LONGEST_ATTEMPT_S = 60.0
-"""Seconds that a sampler is given for one attempt. Origin not recorded."""
-FULL_PAUSE_S = 0.05
-"""A sampler that rejected an item because it is full is avoided for so long: about one event. A
-choice, not measured by itself."""
-LOADING_PAUSE_S = 0.3
-"""The same for one that had room: it loads a version. A choice, not measured by itself."""
-BROKEN_PAUSE_S = 0.02
-"""Between an attempt that broke off and the next one of the item. Origin not recorded."""
+FIRST_EVENT_TIMEOUT_S = 2.5
+"""Time-out for the first event of an attempt; includes the time that the item waits in the
+sampler's queue."""
+NEXT_EVENT_TIMEOUT_S = 0.3
+"""Time-out for each later event, after which the run is resumed at another sampler. It doubles with
+each time-out of the item. A healthy sampler sends an event every 0.04 to 0.06 s; one that loads a
+weight version sends none for 0.9 s."""
+MAX_EVENT_TIMEOUT_S = 2.5
+"""Upper bound of the doubled time-out; equal to the time-out for the first event."""
+ATTEMPT_TIMEOUT_S = 60.0
+"""Time after which a sampler is to stop its work on an attempt."""
+FULL_BACKOFF_S = 0.05
+"""Time for which a sampler is avoided after it rejected an item because it was full: about the
+interval between two events."""
+LOADING_BACKOFF_S = 0.3
+"""Time for which a sampler is avoided after it rejected an item although it had room, which means
+that it is loading a weight version."""
+BROKEN_RETRY_DELAY_S = 0.02
+"""Delay between a broken attempt at an item and the next attempt."""
 GIVE_UP_MARGIN_S = 2.0
-"""An item is given up only so long after the route's `max_queue` has passed. Origin not
-recorded."""
-DEFAULT_QUEUE_S = 60.0
-"""The `max_queue` of a job whose route is gone. Origin not recorded."""
-DEFAULT_ATTEMPTS = 1
-"""Failures of a score that end its item if the job's route is gone; the scoring route may allow
-more. Origin not recorded."""
-SCORING_PATIENCE_TARGETS = 3.0
-"""A back end has so many times the route's target latency to answer a scoring request, and twice as
-long after each silence, up to the route's timeout: an answer that was lost is soon asked for
-elsewhere. Origin not recorded."""
-SCORING_SHORTEST_PATIENCE_S = 0.5
-"""The least that this comes to, for routes with a short target. Origin not recorded."""
-SCORING_REJECTED_PAUSE_S = 0.1
-"""A back end that rejected a scoring request is left to callers for so long. Origin not
-recorded."""
+"""Time that must pass after the route's `max_queue` before an item is given up."""
+DEFAULT_MAX_QUEUE_S = 60.0
+"""The `max_queue` of a job whose route is no longer configured."""
+DEFAULT_MAX_ATTEMPTS = 1
+"""The `max_attempts` of a job whose route is no longer configured; the route of the scoring request
+may allow more failures."""
+SCORING_TIMEOUT_FACTOR = 3.0
+"""A scoring request times out after this multiple of its route's target latency, so that a lost
+response is soon requested again elsewhere. The time-out doubles with each time-out of the request,
+up to the route's timeout."""
+SCORING_MIN_TIMEOUT_S = 0.5
+"""Lower bound of the first time-out of a scoring request, for routes with a short target
+latency."""
+SCORING_REJECTED_BACKOFF_S = 0.1
+"""Time for which a back end is avoided after it rejected a scoring request, which leaves it to
+callers' requests."""
 SCORING_RETRY_BASE_S = 0.02
-"""First pause between two scoring calls of an item; see Backoff. Origin not recorded."""
+"""Upper bound of the first delay between two scoring calls of an item; see Backoff."""
 SCORING_RETRY_CAP_S = 0.5
-"""Longest such pause. Origin not recorded."""
+"""Upper bound of all such delays."""
 
 
-def next_event_s(silences: int) -> float:
-    """Longest wait for an event that is not the first of its attempt.
+def next_event_timeout_s(timeouts: int) -> float:
+    """Time-out for an event that is not the first of its attempt.
+
+    Parameters
+    ==========
+
+    timeouts : number of earlier time-outs of the item.
 
     Examples
     ========
 
-    >>> [next_event_s(silences) for silences in range(5)]
+    >>> [next_event_timeout_s(timeouts) for timeouts in range(5)]
     [0.3, 0.6, 1.2, 2.4, 2.5]
     """
-    return min(LONGEST_SILENCE_S, NEXT_EVENT_S * 2.0**silences)
+    return min(MAX_EVENT_TIMEOUT_S, NEXT_EVENT_TIMEOUT_S * 2.0**timeouts)
 
 
-def rejected_pause_s(had_room: bool) -> float:
-    """How long a sampler is avoided that rejected an item; `had_room` by its own word."""
-    return LOADING_PAUSE_S if had_room else FULL_PAUSE_S
+def rejected_backoff_s(had_room: bool) -> float:
+    """Time for which a sampler is avoided after it rejected an item.
+
+    Parameters
+    ==========
+
+    had_room : whether the sampler reported that it had room for the item.
+    """
+    return LOADING_BACKOFF_S if had_room else FULL_BACKOFF_S
 
 
 def give_up_at(started_at: float, longest_queue_s: float) -> float:
-    """When an item that is not whole is given up; both times are monotonic.
+    """Monotonic time at which an incomplete item is given up.
 
     Parameters
     ==========
 
-    started_at : when its job began to run here.
+    started_at : monotonic time at which its job started in this process.
     longest_queue_s : the route's `max_queue`.
     """
     return started_at + longest_queue_s + GIVE_UP_MARGIN_S
 
 
-def scoring_patience_s(route: Route, silences: int) -> float:
-    """How long the next back end has to answer a scoring request."""
-    first_s = max(SCORING_SHORTEST_PATIENCE_S, SCORING_PATIENCE_TARGETS * route.target_latency_s)
-    return min(route.timeout_s, first_s * 2.0**silences)
+def scoring_timeout_s(route: Route, timeouts: int) -> float:
+    """Time-out for the next attempt at a scoring request, after this many time-outs."""
+    first_timeout_s = max(SCORING_MIN_TIMEOUT_S, SCORING_TIMEOUT_FACTOR * route.target_latency_s)
+    return min(route.timeout_s, first_timeout_s * 2.0**timeouts)
 
 
-def most_scoring_failures(route: Route, job_attempts: int) -> int:
-    """So many whole answers of failure end the item; `job_attempts` by the route of its job."""
+def max_scoring_failures(route: Route, job_attempts: int) -> int:
+    """Number of failures after which a scoring request is given up.
+
+    Parameters
+    ==========
+
+    route : route of the scoring request.
+    job_attempts : `max_attempts` of the route of the item's job.
+    """
     return max(route.max_attempts, job_attempts)
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -20,11 +20,11 @@
 from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ItemFailed, ItemImpossible
 from crankseam.jobs.item_retry import (
-    BROKEN_PAUSE_S,
-    FIRST_EVENT_S,
-    LONGEST_ATTEMPT_S,
-    next_event_s,
-    rejected_pause_s,
+    ATTEMPT_TIMEOUT_S,
+    BROKEN_RETRY_DELAY_S,
+    FIRST_EVENT_TIMEOUT_S,
+    next_event_timeout_s,
+    rejected_backoff_s,
 )
 from crankseam.jobs.migration import MigrationTimer
 from crankseam.jobs.migration_requests import MigrationRequest
@@ -228,7 +228,7 @@
             with self._trial.sending() as send:
                 await noted_send(self._guard, send, back_end, self._generate(back_end))
         except AttemptNotRun as refusal:
-            pause_s = rejected_pause_s(refusal.had_room)
+            pause_s = rejected_backoff_s(refusal.had_room)
             back_end.was_full(pause_s)
             self._migration_timer.rejected(time.monotonic())
             self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause_s} s")
@@ -238,7 +238,7 @@
             self._avoided = back_end.record.id
             self._log("item_broken", back_end, failure.reason)
             self._trial.report_if_held()
-            await asyncio.sleep(BROKEN_PAUSE_S)
+            await asyncio.sleep(BROKEN_RETRY_DELAY_S)
             return None
         except _Migrate:
             self._avoided = back_end.record.id
@@ -276,13 +276,13 @@
     async def _generate(self, back_end: BackEnd) -> None:
         """Take events until the generation is whole."""
         after = len(self.kept.events)
-        stream = self._client.generate(back_end, self.job, self.item, after, LONGEST_ATTEMPT_S)
+        stream = self._client.generate(back_end, self.job, self.item, after, ATTEMPT_TIMEOUT_S)
         last_at: float | None = None
         steady_at = float("inf")
-        longest_silence_s = next_event_s(self._silences)
+        longest_silence_s = next_event_timeout_s(self._silences)
         async with aclosing(stream) as events:
             while True:
-                patience_s = longest_silence_s if last_at is not None else FIRST_EVENT_S
+                patience_s = longest_silence_s if last_at is not None else FIRST_EVENT_TIMEOUT_S
                 try:
                     async with asyncio.timeout(patience_s):
                         event = await anext(events, None)
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -19,11 +19,11 @@
 from crankseam.jobs.dispatcher import Dispatcher
 from crankseam.jobs.errors import ScoringFailed
 from crankseam.jobs.item_retry import (
-    SCORING_REJECTED_PAUSE_S,
+    SCORING_REJECTED_BACKOFF_S,
     SCORING_RETRY_BASE_S,
     SCORING_RETRY_CAP_S,
-    most_scoring_failures,
-    scoring_patience_s,
+    max_scoring_failures,
+    scoring_timeout_s,
 )
 from crankseam.jobs.model import ItemDefinition, JobDefinition, ScoringRequest
 from crankseam.jobs.noted_send import noted_send
@@ -120,7 +120,7 @@
                 score = await run.attempt(place.route, place.back_end)
             if score is not None:
                 return score
-            if run.may_give_up(most_scoring_failures(place.route, job_attempts), place.back_end):
+            if run.may_give_up(max_scoring_failures(place.route, job_attempts), place.back_end):
                 return None
             await asyncio.sleep(run.backoff.next_delay())
 
@@ -151,7 +151,7 @@
 
     async def attempt(self, route: Route, back_end: BackEnd) -> str | None:
         """One call; None when it gave no score."""
-        patience_s = scoring_patience_s(route, self._silences)
+        patience_s = scoring_timeout_s(route, self._silences)
         self.avoided = back_end.record.id
         self._log("scoring_sent", back_end, f"patience {patience_s:.2f} s")
         try:
@@ -161,7 +161,7 @@
                     call = self._client.score(back_end, self._request, deadline)
                     score = await noted_send(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
-            back_end.was_full(SCORING_REJECTED_PAUSE_S)
+            back_end.was_full(SCORING_REJECTED_BACKOFF_S)
             if refusal.wrong_instance:
                 back_end.failed()
             self._log("scoring_turned_away", back_end, refusal.reason)
--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -96,7 +96,7 @@
 
 
 async def test_a_silent_sampler_is_left(samplers, monkeypatch):
-    monkeypatch.setattr(item_retry, "NEXT_EVENT_S", 0.05)
+    monkeypatch.setattr(item_retry, "NEXT_EVENT_TIMEOUT_S", 0.05)
     samplers.scripts = [[*events(1, 1), 60.0], events(2, 2)]
     result = await run_item(samplers)
     assert result.text == "e1\ne2"
