--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -11,7 +11,7 @@
 import heapq
 import itertools
 
-from crankseam.jobs.migration import longest_pace_s
+from crankseam.jobs.migration import max_pace_s
 from crankseam.jobs.migration_requests import MigrationRequest, MigrationRequests
 from crankseam.jobs.places import AssignmentRound, MemoryFinder, PlaceNeed, PlaceRequest
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
@@ -126,10 +126,10 @@
         steady_s, recent_s = self.paces.steady_s(back_end), self.paces.recent_s(back_end)
         if steady_s is None or recent_s is None:
             return request
-        pace_s = longest_pace_s(steady_s, recent_s, need.is_long)
+        pace_s = max_pace_s(steady_s, recent_s, need.is_long)
         if request is None:
             request = MigrationRequest(back_end.record.service, need, only_version, pace_s)
-        request.need, request.longest_pace_s = need, pace_s
+        request.need, request.max_pace_s = need, pace_s
         self._migrations.put(request)
         return request
 
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -316,12 +316,12 @@
 
     def _migrate_if_slow(self, back_end: BackEnd) -> None:
         now = time.monotonic()
-        if not self._migration_timer.may_move(now):
+        if not self._migration_timer.may_migrate(now):
             return
-        if self._migration_timer.take_look(now):
+        if self._migration_timer.begin_search_if_due(now):
             self._migration = self._dispatcher.request_migration(
                 self._migration, back_end, self._need(), self._text_version()
             )
         if self._migration is not None and self._migration.granted is not None:
-            self._migration_timer.moved(now)
+            self._migration_timer.migrated(now)
             raise _Migrate
--- a/src/crankseam/jobs/migration_requests.py
+++ b/src/crankseam/jobs/migration_requests.py
@@ -11,7 +11,7 @@
 import time
 from dataclasses import dataclass
 
-from crankseam.jobs.migration import FASTEST_KEPT_S
+from crankseam.jobs.migration import PACE_ORDER_MAX_AGE_S
 from crankseam.jobs.places import MemoryFinder, PlaceNeed, may_serve, slots_of
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.paces import SamplerPaces
@@ -32,7 +32,7 @@
     service: str
     need: PlaceNeed
     only_version: int
-    longest_pace_s: float
+    max_pace_s: float
     granted: BackEnd | None = None
 
 
@@ -73,7 +73,7 @@
     def _grant(self, request: MigrationRequest) -> None:
         need = request.need
         faster = itertools.takewhile(
-            lambda pair: pair[0] < request.longest_pace_s, self._fastest_first(request.service)
+            lambda pair: pair[0] < request.max_pace_s, self._fastest_first(request.service)
         )
         free = [one for _, one in faster if self._has_room(one, request)]
         if not free:
@@ -105,7 +105,7 @@
         """See SamplerPaces; worked out now and then, since each event of each run asks."""
         now = time.monotonic()
         worked_out_at, found = self._fastest.get(service, (float("-inf"), []))
-        if now - worked_out_at > FASTEST_KEPT_S:
+        if now - worked_out_at > PACE_ORDER_MAX_AGE_S:
             found = self._paces.fastest_first(self._registry.of_service(service))
             self._fastest[service] = (now, found)
         return found
--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -164,9 +164,12 @@
 async def test_a_run_that_turns_out_long_moves_while_others_wait_and_leaves_them_its_place(
     samplers, monkeypatch
 ):
-    """Until the burst of a step is over, every place that gets free was another item's."""
+    """Guards against long runs that never migrate during the burst at the start of a step.
+
+    Every place that became free was then taken by a waiting item.
+    """
     monkeypatch.setattr("crankseam.jobs.item_run.WARM_UP_S", 0.0)
-    monkeypatch.setattr("crankseam.jobs.migration.LOOK_S", 0.0)
+    monkeypatch.setattr("crankseam.jobs.migration.SEARCH_INTERVAL_S", 0.0)
     registry = make_registry(2)
     slow, fast = registry.of_service("llm")
     slow.in_flight, fast.in_flight = 3, 4
@@ -257,7 +260,7 @@
     samplers, monkeypatch
 ):
     monkeypatch.setattr("crankseam.jobs.item_run.WARM_UP_S", 0.0)
-    monkeypatch.setattr("crankseam.jobs.migration.LOOK_S", 0.0)
+    monkeypatch.setattr("crankseam.jobs.migration.SEARCH_INTERVAL_S", 0.0)
     registry = registry_of_versions(1, 2)
     leaving, _ = registry.of_service("llm")
     samplers.scripts = [[*events(1, 3, 1), 0.1, *events(4, 5, 1)]]
