--- a/src/crankseam/jobs/migration_requests.py
+++ b/src/crankseam/jobs/migration_requests.py
@@ -1,8 +1,8 @@
-"""Places at faster samplers for runs that are under way at slow ones; see migration.py for the
-rule.
+"""Grants places at faster samplers to runs at slow ones; see migration.py for the rule.
 
-Owns the open requests of this process's runs. Relies on the registry of samplers, their paces and
-their memory. A granted place is counted at the sampler at once, so that nobody else takes it.
+Owns the open migration requests of this process's runs. Relies on the registry of samplers, their
+paces and their memory. A granted place occupies a slot of the sampler immediately, so that no other
+item of this process is placed there.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 
 @dataclass(slots=True, eq=False)
 class MigrationRequest:
-    """A run that would go on at a sampler of a shorter pace.
+    """Request of a run to be resumed at a faster sampler.
 
     Attributes
     ==========
 
     only_version : see PlaceRequest.
-    longest_pace_s : seconds between events that another sampler must stay below.
-    granted : a place that is the run's already, taken at that sampler.
+    max_pace_s : pace, in seconds between events, that the other sampler must stay below.
+    granted : sampler at which a place has been granted to the run and a slot is occupied for it;
+        None while the request is open.
     """
 
     service: str
@@ -37,7 +38,7 @@
 
 
 class MigrationRequests:
-    """The open requests of one process's runs."""
+    """The open migration requests of one process's runs."""
 
     def __init__(
         self,
@@ -49,24 +50,28 @@
         self._registry = registry
         self._paces = paces
         self._open: dict[int, MigrationRequest] = {}
-        """Requests without a place, by identity."""
-        self._fastest: dict[str, tuple[float, list[tuple[float, BackEnd]]]] = {}
-        """Samplers by pace and when that was worked out, by service."""
+        """Requests that have not been granted, by `id()` of the request."""
+        self._pace_order: dict[str, tuple[float, list[tuple[float, BackEnd]]]] = {}
+        """By service: the monotonic time at which the order was computed, and the samplers with
+        their paces, the fastest first."""
 
     def put(self, request: MigrationRequest) -> None:
-        """Add a request, or a new state of it, and grant it if there is room now."""
+        """Add or update a request, and grant it if a faster sampler has room."""
         if request.granted is None:
             self._open[id(request)] = request
             self._grant(request)
 
     def withdraw(self, request: MigrationRequest) -> BackEnd | None:
-        """End a request; the place that it was granted, which is the caller's from now on."""
+        """Remove a request.
+
+        Returns the sampler at which a place was granted, if any; the caller must release the place.
+        """
         self._open.pop(id(request), None)
         granted, request.granted = request.granted, None
         return granted
 
     def grant_all(self) -> None:
-        """Grant what can be granted by now, the longest run first."""
+        """Grant all requests for which there is room, those with the most events first."""
         for request in sorted(self._open.values(), key=lambda one: -one.need.size.events):
             self._grant(request)
 
@@ -75,12 +80,12 @@
         faster = itertools.takewhile(
             lambda pair: pair[0] < request.max_pace_s, self._fastest_first(request.service)
         )
-        free = [one for _, one in faster if self._has_room(one, request)]
+        free = [back_end for _, back_end in faster if self._has_room(back_end, request)]
         if not free:
             return
-        # A sampler that is behind the newest version loads soon, which breaks its runs off.
-        newest = max(one.version_of(need.model) for one in free)
-        chosen = min(free, key=lambda one: newest - one.version_of(need.model))
+        # A sampler that is behind the newest version will load it soon, which interrupts its runs.
+        newest = max(back_end.version_of(need.model) for back_end in free)
+        chosen = min(free, key=lambda back_end: newest - back_end.version_of(need.model))
         chosen.occupy_slot()
         if need.item:
             chosen.runs[need.item] = need.size
@@ -93,7 +98,9 @@
         if back_end.avoid_until > now or not self._registry.is_current(back_end):
             return False
         if back_end.cold.is_cold(now):
-            return False  # slow itself, and the place might be used when its share is spent
+            # A cold sampler is slow itself, and by the time the run uses the place, this process
+            # may have spent its share of requests there.
+            return False
         if back_end.expected_load(now) >= slots_of(back_end):
             return False
         memory = self._memory_of(request.service) if need.item else None
@@ -102,10 +109,10 @@
         return may_serve(back_end, need.model, need.min_version, request.only_version)
 
     def _fastest_first(self, service: str) -> list[tuple[float, BackEnd]]:
-        """See SamplerPaces; worked out now and then, since each event of each run asks."""
+        """See SamplerPaces.fastest_first; cached, since every search of every run needs it."""
         now = time.monotonic()
-        worked_out_at, found = self._fastest.get(service, (float("-inf"), []))
-        if now - worked_out_at > PACE_ORDER_MAX_AGE_S:
-            found = self._paces.fastest_first(self._registry.of_service(service))
-            self._fastest[service] = (now, found)
-        return found
+        computed_at, order = self._pace_order.get(service, (float("-inf"), []))
+        if now - computed_at > PACE_ORDER_MAX_AGE_S:
+            order = self._paces.fastest_first(self._registry.of_service(service))
+            self._pace_order[service] = (now, order)
+        return order
