--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -35,9 +35,9 @@
     JobDefinition,
     PartialText,
 )
-from crankseam.jobs.noted_send import noted_send
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_places import RoutedPlaces
+from crankseam.jobs.send_outcome import record_send_outcome
 from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
@@ -226,7 +226,7 @@
         self._log("item_sent", back_end, f"load {back_end.expected_load(time.monotonic())}")
         try:
             with self._trial.sending() as send:
-                await noted_send(self._guard, send, back_end, self._generate(back_end))
+                await record_send_outcome(self._guard, send, back_end, self._generate(back_end))
         except AttemptNotRun as refusal:
             pause_s = rejected_backoff_s(refusal.had_room)
             back_end.was_full(pause_s)
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -26,9 +26,9 @@
     scoring_timeout_s,
 )
 from crankseam.jobs.model import ItemDefinition, JobDefinition, ScoringRequest
-from crankseam.jobs.noted_send import noted_send
 from crankseam.jobs.places import PlaceNeed
 from crankseam.jobs.routed_places import RoutedPlaces
+from crankseam.jobs.send_outcome import record_send_outcome
 from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
@@ -159,7 +159,7 @@
                 with self.trial.sending() as send:
                     deadline = clocks.promised_s() + patience_s
                     call = self._client.score(back_end, self._request, deadline)
-                    score = await noted_send(self._guard, send, back_end, call)
+                    score = await record_send_outcome(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
             back_end.was_full(SCORING_REJECTED_BACKOFF_S)
             if refusal.wrong_instance:
--- a/src/crankseam/jobs/noted_send.py
+++ b/src/crankseam/jobs/send_outcome.py
@@ -1,4 +1,4 @@
-"""One send of an item's run or scoring request, with its outcome noted for the quarantine."""
+"""Records the outcome of sending an item or a scoring request, for the quarantine."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 T = TypeVar("T")
 
 
-async def noted_send(guard: CrashGuard, send: Send, back_end: BackEnd, attempt: Awaitable[T]) -> T:
-    """Await an attempt at a back end, and note for its trial what came of it.
+async def record_send_outcome(
+    guard: CrashGuard, send: Send, back_end: BackEnd, attempt: Awaitable[T]
+) -> T:
+    """Await an attempt at a back end and record its outcome in `send`.
 
     Raises
     ======
 
-    AttemptNotRun, AttemptBroken, and what else the attempt raises.
+    AttemptNotRun, AttemptBroken, and any other exception of the attempt.
     """
     try:
         answer = await attempt
