--- a/src/crankseam/jobs/item_seconds.py
+++ b/src/crankseam/jobs/item_seconds.py
@@ -1,7 +1,7 @@
-"""How long the items of each model hold places at samplers, learned from those that ended.
+"""Estimates how long items of each model hold places at samplers, from items that have ended.
 
-Owns smoothed sums of seconds and hinted tokens by model, in this process's memory. What it tells
-goes with each accepted job to all processes, which share samplers between models by it.
+Owns decaying sums of seconds and hinted tokens per model, in this process's memory. The estimate is
+stored with each accepted job, and all processes use it to divide the samplers among the models.
 """
 
 from __future__ import annotations
@@ -10,50 +10,60 @@
 
 from crankseam.jobs.model import ItemDefinition, JobDefinition
 
-REMEMBERED_ITEMS = 256
-"""What is learned follows the last so many items: about two steps."""
-FEWEST_ITEMS = 8
-"""Before so many have ended, nothing is told."""
+AVERAGING_ITEMS = 256
+"""Time constant of the decaying sums, in items: about two steps."""
+MIN_ITEMS = 8
+"""Number of items of a model that must have ended before an estimate is given."""
 
 
 @dataclass(slots=True)
 class _Sums:
-    """Smoothed sums over ended items."""
+    """Exponentially decaying sums over ended items; `items` is a plain count."""
 
     held_s: float = 0.0
     units: float = 0.0
     items: int = 0
 
-    def take(self, held_s: float, units: float) -> None:
-        kept = 1.0 - 1.0 / REMEMBERED_ITEMS
+    def add(self, held_s: float, units: float) -> None:
+        kept = 1.0 - 1.0 / AVERAGING_ITEMS
         self.held_s = self.held_s * kept + held_s
         self.units = self.units * kept + units
         self.items += 1
 
 
-def _units(item: ItemDefinition) -> int:
-    """What an item's seconds are taken to grow with."""
+def _work_units(item: ItemDefinition) -> int:
+    """Units of work to which the seconds of an item are assumed to be proportional.
+
+    These are the hinted tokens, or 1 for an item without a hint.
+    """
     return item.length_hint or 1
 
 
 class ItemSeconds:
-    """Seconds by unit of work, by model.
+    """Mean seconds per unit of work for each model.
 
-    A hint tells a long item from a short one, and is off for each by itself; so seconds are
-    learned by hinted token, since the first items to end are the short ones.
+    The first items to end are the short ones, so a plain mean of their seconds would be too low.
+    Seconds per hinted token avoid this: a hint distinguishes long items from short ones, even
+    though single hints are inaccurate.
     """
 
     def __init__(self) -> None:
         self._sums: dict[str, _Sums] = {}
 
     def ended(self, model: str, item: ItemDefinition, held_s: float) -> None:
-        """An item's text became whole after it held places for so long, in all attempts."""
-        self._sums.setdefault(model, _Sums()).take(held_s, _units(item))
+        """Add an item whose text is complete.
+
+        Parameters
+        ==========
+
+        held_s : seconds for which the item held places, over all its attempts.
+        """
+        self._sums.setdefault(model, _Sums()).add(held_s, _work_units(item))
 
     def mean_s(self, job: JobDefinition) -> float:
-        """How long an item of a job is likely to hold places; 0 if that is not known."""
+        """Expected seconds for which an item of a job holds places; 0 if unknown."""
         sums = self._sums.get(job.model)
-        if sums is None or sums.items < FEWEST_ITEMS or not job.items:
+        if sums is None or sums.items < MIN_ITEMS or not job.items:
             return 0.0
-        units = sum(_units(item) for item in job.items) / len(job.items)
+        units = sum(_work_units(item) for item in job.items) / len(job.items)
         return units * sums.held_s / sums.units
