--- a/src/crankseam/jobs/pace_sharing.py
+++ b/src/crankseam/jobs/pace_sharing.py
@@ -1,7 +1,7 @@
-"""Tells other processes how fast samplers are, through the coordination store.
+"""Shares the paces of samplers with other processes through the coordination store.
 
-Who takes a job over, and who decides which samplers carry which model, has seen few or none of
-their streams. Paces seldom change, so that costs a few writes.
+A process that takes over a job, or that assigns models to samplers, has observed few or none of the
+samplers' streams itself. Paces seldom change, so sharing them costs few writes.
 """
 
 from __future__ import annotations
@@ -22,23 +22,25 @@
 log = logging.getLogger(__name__)
 
 PACE_PREFIX = STATE_PREFIX + "pace/"
-"""Below it stands a table of each process: seconds between events by id of the sampler."""
-LOOK_S = 0.5
-"""Seconds between two looks for news. Origin not recorded."""
-SHORTEST_PAUSE_S = 2.0
-"""Between two tables of one process. A choice, not measured by itself."""
-CHANGE_SHARE = 0.1
-"""A pace that differs by less than this share from what was told is not told anew. A choice, not
-measured by itself."""
+"""Key prefix of the pace tables, one per process: seconds between events by sampler id."""
+CHECK_INTERVAL_S = 0.5
+"""Interval at which this process checks whether its table has to be written."""
+MIN_WRITE_INTERVAL_S = 2.0
+"""Minimum time between two writes of a process's table."""
+MIN_RELATIVE_CHANGE = 0.1
+"""Under the same lease, the table is written again only if a pace differs from the published one by
+more than this share of itself."""
 
 
 class PaceSharing:
-    """Keeps this process's table in the store, under its lease, and takes those of others.
+    """Publishes this process's pace table under its lease, and reads the tables of other processes.
 
     Parameters
     ==========
 
-    is_known : whether a sampler of this id is still there; others are told no longer.
+    process : name of this process.
+    paces : holds the paces that this process observed and those that other processes published.
+    is_known : whether a sampler of this id is still registered; others are left out of the table.
     """
 
     def __init__(
@@ -54,12 +56,20 @@
         self._key = PACE_PREFIX + process
         self._paces = paces
         self._is_known = is_known
-        self._told: dict[str, float] = {}
-        self._told_under = 0
-        self._told_at = float("-inf")
+        self._published: dict[str, float] = {}
+        self._published_lease = 0
+        self._published_at = float("-inf")
 
     def state_changed(self, key: str, entry: Entry | None) -> None:
-        """Take a change below the prefix of paces."""
+        """Apply a change of another process's table.
+
+        Parameters
+        ==========
+
+        key : key of the table, below `PACE_PREFIX`.
+        entry : new value; None if the table was deleted. A table that cannot be decoded counts as
+            deleted.
+        """
         if key == self._key:
             return
         table: dict[str, float] = {}
@@ -71,32 +81,32 @@
         self._paces.told(key.removeprefix(PACE_PREFIX), table)
 
     async def run(self) -> None:
-        """Tell what changed until cancelled."""
+        """Publish this process's table whenever it has changed, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             table = self._paces.own_table()
-            if self._lease.is_held() and self._is_news(table):
-                await self._tell(table)
+            if self._lease.is_held() and self._is_publication_due(table):
+                await self._publish(table)
 
-    def _is_news(self, table: dict[str, float]) -> bool:
-        if time.monotonic() - self._told_at < SHORTEST_PAUSE_S:
+    def _is_publication_due(self, table: dict[str, float]) -> bool:
+        if time.monotonic() - self._published_at < MIN_WRITE_INTERVAL_S:
             return False
-        if table and self._told_under != self._lease.number:
+        if table and self._published_lease != self._lease.number:
             return True
         return any(
-            abs(pace - self._told.get(key, 0.0)) > CHANGE_SHARE * pace
+            abs(pace - self._published.get(key, 0.0)) > MIN_RELATIVE_CHANGE * pace
             for key, pace in table.items()
         )
 
-    async def _tell(self, table: dict[str, float]) -> None:
+    async def _publish(self, table: dict[str, float]) -> None:
         lease = self._lease.number
-        before = self._told if self._told_under == lease else {}
-        told = {key: pace for key, pace in (before | table).items() if self._is_known(key)}
-        put = Put(self._key, msgspec.msgpack.encode(told), lease)
-        self._told_at = time.monotonic()
+        previous = self._published if self._published_lease == lease else {}
+        published = {key: pace for key, pace in (previous | table).items() if self._is_known(key)}
+        put = Put(self._key, msgspec.msgpack.encode(published), lease)
+        self._published_at = time.monotonic()
         try:
             await self._store.commit(Transaction(puts=[put]))
         except KeyValueError as error:
             log.info("paces_not_told", extra={"error": type(error).__name__})
             return
-        self._told, self._told_under = told, lease
+        self._published, self._published_lease = published, lease
--- a/tests/jobs/test_pace_sharing.py
+++ b/tests/jobs/test_pace_sharing.py
@@ -14,15 +14,15 @@
 
 
 class Process:
-    """One process's sharing, on a store that it shares with others."""
+    """The pace sharing of one process; several processes use the same store."""
 
     def __init__(self, store, name):
         self.paces = SamplerPaces()
         self.lease = ProcessLease(store)
         self.sharing = PaceSharing(store, self.lease, name, self.paces, lambda key: key != "gone")
         self.state = PrefixFollower(store, PACE_PREFIX, self.sharing.state_changed, 0.2)
-        works = (self.lease.run(), self.state.run(), self.sharing.run())
-        self.tasks = [asyncio.create_task(work) for work in works]
+        coroutines = (self.lease.run(), self.state.run(), self.sharing.run())
+        self.tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     async def stop(self):
         for task in self.tasks:
@@ -31,23 +31,23 @@
 
 
 async def test_another_process_learns_paces_and_forgets_them_with_the_lease(monkeypatch):
-    monkeypatch.setattr(pace_sharing, "LOOK_S", 0.02)
+    monkeypatch.setattr(pace_sharing, "CHECK_INTERVAL_S", 0.02)
     store = MemoryStore()
-    teller, learner = Process(store, "a"), Process(store, "b")
+    publisher, follower = Process(store, "a"), Process(store, "b")
     try:
-        teller.paces.seen(SAMPLER, 0.05)
-        teller.paces.seen(BackEnd(BackEndRecord("gone", "llm", "1.1.1.1:1", "z", 8)), 0.05)
-        await eventually(lambda: learner.paces.steady_s(SAMPLER) == 0.05)
+        publisher.paces.seen(SAMPLER, 0.05)
+        publisher.paces.seen(BackEnd(BackEndRecord("gone", "llm", "1.1.1.1:1", "z", 8)), 0.05)
+        await eventually(lambda: follower.paces.steady_s(SAMPLER) == 0.05)
         assert b"gone" not in store.entries[PACE_PREFIX + "a"].value
         writes = store.entries[PACE_PREFIX + "a"].revision
         await asyncio.sleep(0.2)
-        assert store.entries[PACE_PREFIX + "a"].revision == writes, "no news, no write"
-        store.expire_lease(teller.lease.number)
-        await teller.stop()
-        await eventually(lambda: learner.paces.steady_s(SAMPLER) is None)
+        assert store.entries[PACE_PREFIX + "a"].revision == writes, "no change, no write"
+        store.expire_lease(publisher.lease.number)
+        await publisher.stop()
+        await eventually(lambda: follower.paces.steady_s(SAMPLER) is None)
     finally:
-        await teller.stop()
-        await learner.stop()
+        await publisher.stop()
+        await follower.stop()
 
 
 async def test_a_table_that_can_not_be_read_is_no_table():
