--- a/src/crankseam/jobs/routed_places.py
+++ b/src/crankseam/jobs/routed_places.py
@@ -1,8 +1,8 @@
-"""Places at the back ends to which a route leads, also when routes change meanwhile.
+"""Finds places at the back ends of a route, and allows for changes of the route during the wait.
 
-Owns nothing: a place that it takes is given back when its holder is done. Relies on the dispatcher
-for places, on the splitter for the service of a route that leads to several, and on the newest
-configuration, which is asked again after each wait.
+Owns no state: a place that it acquires is released when the caller leaves its context. Relies on
+the dispatcher for places, on the splitter to choose among the services of a route, and on the
+newest configuration, which is read again after each wait.
 """
 
 from __future__ import annotations
@@ -17,24 +17,23 @@
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.routes import Route, TrafficSplitter
 
-NO_ROUTE_PAUSE_S = 0.2
-"""How often the newest configuration is asked for a route that is not there. Origin not
-recorded."""
-VERSION_LOOK_S = 0.5
-"""How often an item that waits for one version looks whether a sampler still carries it. Origin not
-recorded."""
+ROUTE_POLL_INTERVAL_S = 0.2
+"""Interval at which the newest configuration is checked for a route that is missing."""
+VERSION_CHECK_INTERVAL_S = 0.5
+"""Interval at which an item that waits for one particular weight version checks whether a sampler
+still has it."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedPlace:
-    """A place that is held, and the route by which it was found."""
+    """A place that is held, and the route that led to its back end."""
 
     route: Route
     back_end: BackEnd
 
 
 class RoutedPlaces:
-    """Finds places by routes."""
+    """Acquires places for one process's items and scoring requests by their routes."""
 
     def __init__(self, dispatcher: Dispatcher, splitter: TrafficSplitter) -> None:
         self._dispatcher = dispatcher
@@ -48,16 +47,19 @@
         only_version: Callable[[], int] = lambda: 0,
         reserved: BackEnd | None = None,
     ) -> AsyncGenerator[RoutedPlace, None]:
-        """Wait for a place and give it back afterwards. See PlaceNeed.
+        """Wait for a place, hold it for the duration of the context, then release it.
 
         Parameters
         ==========
 
-        find_route : the route in the newest configuration; None while there is none.
-        only_version : asked anew now and then, since the samplers of a version load newer ones.
-        reserved : a place that was taken already; used if it still serves, else given back.
+        find_route : returns the route in the newest configuration, None if there is none.
+        need : what the place must offer; see PlaceNeed.
+        only_version : returns the only suitable weight version, 0 if any is; see PlaceRequest. It
+            is called again during the wait, since samplers replace a version by a newer one.
+        reserved : back end of a place that is already held. The place is used if the route still
+            leads to the back end and the back end takes new work; otherwise it is released.
         """
-        place = self._use(reserved, find_route(), need) if reserved is not None else None
+        place = self._use_reserved(reserved, find_route(), need) if reserved is not None else None
         if place is None:
             place = await self._acquire(find_route, need, only_version)
         try:
@@ -65,7 +67,9 @@
         finally:
             self._dispatcher.release(place.back_end, need.item)
 
-    def _use(self, reserved: BackEnd, route: Route | None, need: PlaceNeed) -> RoutedPlace | None:
+    def _use_reserved(
+        self, reserved: BackEnd, route: Route | None, need: PlaceNeed
+    ) -> RoutedPlace | None:
         if (
             route is not None
             and route.leads_to(reserved.record.service)
@@ -84,17 +88,17 @@
         while True:
             route = find_route()
             if route is None:
-                await asyncio.sleep(NO_ROUTE_PAUSE_S)
+                await asyncio.sleep(ROUTE_POLL_INTERVAL_S)
                 continue
             service = self._splitter.pick(route)
             version = only_version()
             try:
-                async with asyncio.timeout(VERSION_LOOK_S if version else None):
+                async with asyncio.timeout(VERSION_CHECK_INTERVAL_S if version else None):
                     back_end = await self._dispatcher.acquire(need, service, version)
             except TimeoutError:
-                # The version may be gone: look again.
+                # The samplers may no longer have the version: ask for it again.
                 continue
-            # The configuration may have changed during the wait.
+            # The route may have changed during the wait.
             route = find_route()
             if route is not None and route.leads_to(service):
                 return RoutedPlace(route, back_end)
--- a/tests/jobs/test_routed_places.py
+++ b/tests/jobs/test_routed_places.py
@@ -1,4 +1,4 @@
-"""Places by routes: what was reserved is used or given back; a route that changes is noticed."""
+"""Places by routes: use or release of a reserved place, and changes of the route during a wait."""
 
 import asyncio
 from dataclasses import replace
