--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -1,8 +1,10 @@
-"""Gives waiting items of all this process's jobs a place at a sampler, in order of urgency.
+"""Assigns the waiting items of this process's jobs to places at samplers, in order of rank.
 
-Owns the queue of waiting items and the count of places that this process holds at each sampler
-(`in_flight`, `runs`). Relies on the registry for the samplers; the rules are those of urgency.py
-(who goes first), places.py (which sampler) and migration.py (runs that are under way).
+A place is one request slot of a sampler.
+
+Owns the queue of waiting items, and the counts of the places that this process holds at each
+sampler (`in_flight`, `runs`). Relies on the registry for the samplers. The rules are in urgency.py
+(order of the items), places.py (choice of the sampler) and migration.py (migration of runs).
 """
 
 from __future__ import annotations
@@ -17,18 +19,18 @@
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.paces import SamplerPaces
 
-LOOK_AGAIN_S = 0.05
-"""Seconds between two looks while items wait: reports of load and the ends of pauses wake nobody.
-Origin not recorded."""
+POLL_INTERVAL_S = 0.05
+"""Interval at which places are assigned while items wait, because neither a new load report nor the
+end of a back end's avoidance wakes the dispatcher."""
 
 
 class Dispatcher:
-    """One queue for the process. Samplers are filled up to their slots, not beyond.
+    """The process's queue of items; places no more requests at a sampler than it has slots.
 
     Args:
-        zone: where this process runs; samplers there are preferred between equals.
-        paces: how fast samplers are; its own without one.
-        memory_of: the memory of a service's samplers, if that is known.
+        zone: zone of this process; among otherwise equal samplers those in this zone are preferred.
+        paces: observed paces of the samplers; a new, empty `SamplerPaces` if omitted.
+        memory_of: returns the memory of each sampler of a service, None if unknown.
     """
 
     def __init__(
@@ -42,28 +44,31 @@
         self._registry = registry
         self._zone = zone
         self._waiting: list[PlaceRequest] = []
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._wake = asyncio.Event()
         self.paces = paces if paces is not None else SamplerPaces()
         self._migrations = MigrationRequests(registry, self.paces, memory_of)
         registry.on_change.append(self._wake.set)
 
     async def run(self) -> None:
-        """Give places until cancelled."""
+        """Assign places until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(LOOK_AGAIN_S if self._waiting else None):
+                async with asyncio.timeout(POLL_INTERVAL_S if self._waiting else None):
                     await self._wake.wait()
             except TimeoutError:
-                # Nothing woke it: look again.
+                # Assign places even without a wake-up; see POLL_INTERVAL_S.
                 pass
             self._wake.clear()
-            self._give_places()
+            self._assign_places()
 
     async def acquire(self, need: PlaceNeed, service: str, only_version: int = 0) -> BackEnd:
-        """Wait for a place; the caller must release it. See PlaceNeed and PlaceRequest."""
+        """Wait for a place at a sampler of a service; the caller must release it.
+
+        See PlaceNeed for `need` and PlaceRequest for `only_version`.
+        """
         place: asyncio.Future[BackEnd] = asyncio.get_running_loop().create_future()
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         request = PlaceRequest(need.rank, number, need, service, only_version, place)
         heapq.heappush(self._waiting, request)
         self._wake.set()
@@ -75,31 +80,31 @@
             raise
 
     def release(self, back_end: BackEnd, item: str = "") -> None:
-        """Give an item's place back."""
+        """Release the place that an item holds at a back end."""
         back_end.release_slot()
         back_end.runs.pop(item, None)
         self._wake.set()
 
-    def _give_places(self) -> None:
+    def _assign_places(self) -> None:
         self._migrations.grant_all()
         round_ = AssignmentRound(self._registry, self.paces, self._zone, self._memory_of)
-        left: list[PlaceRequest] = []
+        unplaced: list[PlaceRequest] = []
         while self._waiting:
             request = heapq.heappop(self._waiting)
             if request.place.done():
                 continue
             back_end = round_.take(request)
             if back_end is None:
-                left.append(request)
+                unplaced.append(request)
                 continue
             back_end.occupy_slot()
             if request.need.item:
                 back_end.runs[request.need.item] = request.need.size
             request.place.set_result(back_end)
-        self._waiting = left
+        self._waiting = unplaced
 
     def knows(self, back_end_id: str) -> bool:
-        """Whether a back end of this id is in discovery."""
+        """Whether discovery lists a back end with this id."""
         return self._registry.by_id(back_end_id) is not None
 
     # --- migrations
@@ -111,17 +116,18 @@
         need: PlaceNeed,
         only_version: int = 0,
     ) -> MigrationRequest | None:
-        """Ask for a place at a sampler that is faster, as migration.py has it.
+        """Request a place at a faster sampler, by the rule of migration.py.
 
-        The paces of others must be known: an unknown one is no promise.
+        Samplers whose pace is unknown are not considered. Without a pace of the run's own sampler,
+        the request is returned unchanged.
 
         Parameters
         ==========
 
-        request : the run's request so far, which is brought up to date.
-        back_end : where the run is now.
-        need : of the run as it is now; `size` tells how many events it has made.
-        only_version : see PlaceRequest; as it was when the run asked first.
+        request : the run's open request, which is updated; None creates a new one.
+        back_end : the run's current sampler.
+        need : current need of the run; `size` holds the number of events generated so far.
+        only_version : see PlaceRequest; takes effect only if a new request is created.
         """
         steady_s, recent_s = self.paces.steady_s(back_end), self.paces.recent_s(back_end)
         if steady_s is None or recent_s is None:
@@ -134,12 +140,17 @@
         return request
 
     def end_migration(self, request: MigrationRequest) -> BackEnd | None:
-        """End a request; the place that it was granted must be released by the caller."""
+        """End a request.
+
+        Returns the sampler at which a place was granted, if any; the caller must release the place.
+        """
         return self._migrations.withdraw(request)
 
-    def is_carried(self, service: str, model: str, version: int) -> bool:
-        """Whether a sampler of a service carries this very version of a model."""
-        return any(one.version_of(model) == version for one in self._registry.of_service(service))
+    def is_version_available(self, service: str, model: str, version: int) -> bool:
+        """Whether a sampler of a service has exactly this version of a model."""
+        return any(
+            back_end.version_of(model) == version for back_end in self._registry.of_service(service)
+        )
 
     def is_current(self, back_end: BackEnd) -> bool:
         """Whether new work may be sent to this back end now."""
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -190,7 +190,9 @@
         if not version or route is None:
             return 0
         services = [share.service for share in route.shares]
-        if any(self._dispatcher.is_carried(one, self.job.model, version) for one in services):
+        if any(
+            self._dispatcher.is_version_available(one, self.job.model, version) for one in services
+        ):
             return version
         self.kept.clear()
         return 0
--- a/tests/jobs/test_dispatcher.py
+++ b/tests/jobs/test_dispatcher.py
@@ -10,7 +10,7 @@
 
 
 def run_need(is_long, events):
-    """What a run of so many events needs."""
+    """Need of a run that has generated this many events."""
     return PlaceNeed((0.0,), "m", 1, is_long=is_long, size=RunSize(0, events))
 
 
@@ -24,7 +24,7 @@
         dispatcher.paces.seen(fast, 0.037)
         dispatcher.paces.seen(slower, 0.048)
     fast.in_flight = 5
-    giving = asyncio.create_task(dispatcher.run())
+    dispatching = asyncio.create_task(dispatcher.run())
     try:
         assert await dispatcher.acquire(PlaceNeed((0.0,), "m", 1, is_long=True), "svc") is fast
         assert await dispatcher.acquire(PlaceNeed((0.0,), "m", 1), "svc") is slower
@@ -32,7 +32,7 @@
         need = PlaceNeed((0.0,), "m", 1, is_long=True)
         assert await dispatcher.acquire(need, "svc") is slower, "full"
     finally:
-        giving.cancel()
+        dispatching.cancel()
 
 
 async def test_a_long_run_does_not_leave_for_room_that_waiting_items_are_about_to_take():
@@ -64,13 +64,13 @@
     requests = [
         dispatcher.request_migration(None, slow, run_need(True, count)) for count in (20, 90, 50)
     ]
-    giving = asyncio.create_task(dispatcher.run())
+    dispatching = asyncio.create_task(dispatcher.run())
     try:
         dispatcher.release(fast)
         await eventually(lambda: requests[1].granted is fast)
         assert requests[0].granted is None and requests[2].granted is None
     finally:
-        giving.cancel()
+        dispatching.cancel()
 
 
 async def test_a_long_run_goes_to_a_sampler_that_need_not_load_soon():
@@ -80,18 +80,18 @@
     behind, newest = registry.of_service("svc")
     newest.in_flight = 3
     dispatcher = Dispatcher(registry, "z")
-    giving = asyncio.create_task(dispatcher.run())
+    dispatching = asyncio.create_task(dispatcher.run())
     try:
         assert await dispatcher.acquire(PlaceNeed((0.0,), "m", 1, is_long=True), "svc") is newest
         assert await dispatcher.acquire(PlaceNeed((0.0,), "m", 1), "svc") is behind
     finally:
-        giving.cancel()
+        dispatching.cancel()
 
 
 MEMORY = EngineMemory(10_000, 75)
 
 
-def with_memory(registry, paces=None):
+def dispatcher_with_memory(registry, paces=None):
     return Dispatcher(registry, "z", paces, lambda service: MEMORY)
 
 
@@ -101,7 +101,7 @@
     full.runs = {"a": RunSize(250, 50)}
     full.in_flight, free.in_flight = 1, 2
     free.runs = {"b": RunSize(250, 0), "c": RunSize(250, 0)}
-    dispatcher = with_memory(registry)
+    dispatcher = dispatcher_with_memory(registry)
     running = asyncio.create_task(dispatcher.run())
     try:
         size = RunSize(250, 30)
@@ -120,7 +120,7 @@
     registry = make_registry(count=1)
     (only,) = registry.of_service("llm")
     only.runs, only.in_flight = {"a": RunSize(250, 100)}, 1
-    dispatcher = with_memory(registry)
+    dispatcher = dispatcher_with_memory(registry)
     running = asyncio.create_task(dispatcher.run())
     try:
         need = PlaceNeed((0.0,), "m", 1, item="b", size=RunSize(250, 90))
@@ -129,7 +129,7 @@
         running.cancel()
 
 
-async def test_no_run_moves_to_a_sampler_that_would_put_it_back():
+async def test_no_run_moves_to_a_sampler_that_would_preempt_it():
     registry = make_registry()
     slow, fast = registry.of_service("llm")
     paces = SamplerPaces()
@@ -137,7 +137,7 @@
         paces.seen(slow, 0.2)
         paces.seen(fast, 0.05)
     fast.runs, fast.in_flight = {"a": RunSize(250, 60)}, 1
-    dispatcher = with_memory(registry, paces)
+    dispatcher = dispatcher_with_memory(registry, paces)
     need = PlaceNeed((0.0,), "m", 1, is_long=True, item="b", size=RunSize(250, 30))
     request = dispatcher.request_migration(None, slow, need)
     assert request is not None and request.granted is None
