--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -1,15 +1,16 @@
-"""Which sampler gets a waiting item: of those with room that may serve it, the one of the smallest
-cost.
-
-Inputs: each sampler's load (own requests, and others' by a report of at most 1.5 s), pace, weight
-version, zone and memory, as this process believes them at the moment of the round; the item's need.
-Rule: a sampler that is avoided, full for this kind of item, cold beyond this process's share or of
-an unsuitable version is no candidate. The rest is ordered by `Cost`, its first field that differs.
-The sampler that the item just left is taken only when there is no other.
-Protects: a step's longest items from slow, soon loading or overfull samplers; all others from a
-queue at one sampler.
-Shown by: `item_sent`, `scoring_sent` (the load in `reason`). Held by: tests/jobs/test_places.py,
-test_dispatcher.py.
+"""Choice of the sampler for a waiting item: the suitable one with room that has the lowest cost.
+
+Inputs: the load of each sampler (requests of this process, and those of other processes by a load
+report that is at most 1.5 s old), its pace, weight version, zone and memory, all as known to this
+process at the time of the assignment round; the item's need.
+Rule: a sampler is no candidate while it is avoided, while it has no free slot for this kind of
+item, while it is cold and this process has used up its share of requests there, or if its weight
+version is unsuitable. The candidates are ordered by `Cost`, compared field by field. The sampler
+that the item was just moved away from is chosen only if there is no other candidate.
+Purpose: keeps the longest items of a step away from samplers that are slow, overloaded or about to
+load a weight version, and spreads all other items so that no sampler builds up a queue.
+Logged as: `item_sent`, `scoring_sent` (with the load in `reason` of `item_sent`).
+Tested by: tests/jobs/test_places.py, test_dispatcher.py.
 """
 
 from __future__ import annotations
@@ -28,17 +29,24 @@
 from crankseam.serving.paces import SamplerPaces
 
 DEFAULT_SLOTS = 8
-"""Requests that a sampler works on at the same time if discovery does not tell; origin not
-recorded."""
+"""Number of slots of a sampler for which discovery lists none."""
 
 
 def slots_of(back_end: BackEnd) -> int:
-    """How many requests it works on at the same time."""
+    """Number of requests that a back end processes concurrently."""
     return back_end.record.slots or DEFAULT_SLOTS
 
 
 def may_serve(back_end: BackEnd, model: str, min_version: int, only_version: int) -> bool:
-    """Whether its weight version suits; `only_version` is 0 if any from `min_version` on does."""
+    """Whether a back end's weight version is suitable.
+
+    Parameters
+    ==========
+
+    model : empty if any version is suitable.
+    min_version : oldest suitable version; applies if `only_version` is 0.
+    only_version : the only suitable version; 0 for any version from `min_version` on.
+    """
     if not model:
         return True
     version = back_end.version_of(model)
@@ -47,16 +55,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceNeed:
-    """What an item needs of a place.
+    """Requirements of an item or a scoring request for its place.
 
     Attributes
     ==========
 
-    rank : smaller ones go first.
-    avoided : id of a sampler that the item was just moved away from; empty if none.
-    is_long : the step waits for it: it goes to the fastest samplers first.
-    slots_share : the part of a back end's slots that requests of this kind may fill.
-    item : under which its run is counted at the back end; empty if it needs no memory there.
+    rank : sort key; the smallest is served first.
+    avoided : id of a back end that is chosen only if there is no other, because the last attempt
+        failed there or the item was moved away from it; empty if none.
+    is_long : whether the step is likely to wait for the item, which then prefers the fastest
+        samplers.
+    slots_share : share of a back end's slots that requests of this kind may fill.
+    item : id under which the back end's memory use counts the run; empty for a request that needs
+        no memory there.
+    size : size of the run, for the memory check.
     """
 
     rank: tuple[float, ...]
@@ -71,35 +83,46 @@
 
 @dataclass(order=True, slots=True)
 class PlaceRequest:
-    """One item that waits for a place. Smaller ranks go first."""
+    """A request for a place that is waiting, ordered by rank and then by number.
+
+    Attributes
+    ==========
+
+    number : position in the order of arrival.
+    service : name of the service whose samplers are considered.
+    place : receives the chosen sampler.
+    """
 
     rank: tuple[float, ...]
     number: int
     need: PlaceNeed = field(compare=False)
     service: str = field(compare=False)
     only_version: int = field(compare=False)
-    """The one version that may go on with the item's text; 0 if any may."""
+    """The only weight version that may continue the item's text; 0 if any version may."""
     place: asyncio.Future[BackEnd] = field(compare=False)
 
 
 class Cost(NamedTuple):
-    """How little a sampler suits an item: compared field by field, in this order.
+    """Cost of placing an item at a sampler, compared field by field in this order.
 
     Attributes
     ==========
 
-    turned_slow : its events take much longer now than those of the service's others.
-    lacks_memory : the item's run would not fit until its end beside those that are there.
-    pace_class : by how many classes of pace it is slower than the fastest; 0 for an item that is
-        not long.
-    versions_behind : behind the newest weight version, so that it loads soon; 0 for an item that
-        is not long.
-    load : requests that are expected there.
-    in_other_zone : not in this process's zone.
-    tie_break : random, so that processes that know the same do not all choose the same one.
+    is_slow : whether the sampler's recent pace is much longer than the paces of the service's other
+        samplers.
+    lacks_memory : whether the sampler's memory is not expected to hold the item's run until its
+        end, beside the runs that are already there.
+    pace_class : number of pace classes by which the sampler is slower than the fastest one; 0 if
+        the item is not long.
+    versions_behind : number of weight versions by which the sampler is behind the newest one, in
+        which case it will soon load that version; 0 if the item is not long.
+    load : expected number of requests at the sampler.
+    in_other_zone : whether the sampler is outside this process's zone.
+    tie_break : random number, so that processes with the same knowledge do not all choose the same
+        sampler.
     """
 
-    turned_slow: bool
+    is_slow: bool
     lacks_memory: bool
     pace_class: int
     versions_behind: int
@@ -108,8 +131,8 @@
     tie_break: float
 
 
-class _Kind(NamedTuple):
-    """Items for which all samplers cost the same."""
+class _ItemKind(NamedTuple):
+    """Key of items for which each sampler has the same cost."""
 
     service: str
     model: str
@@ -117,35 +140,38 @@
     is_long: bool
     slots_share: float
     only_version: int
-    size_step: int
+    size_bucket: int
 
 
 MemoryFinder = Callable[[str], EngineMemory | None]
-"""The memory of a service's samplers; None if that is not known."""
-SIZE_STEP_EVENTS = 16
-"""Runs whose events differ by less than this are placed alike: a queue is worked out for each kind,
-and an event adds little memory. A choice, not measured by itself."""
+"""Returns the memory of each sampler of a service; None if unknown."""
+SIZE_BUCKET_EVENTS = 16
+"""Runs are grouped by their number of events into buckets of this width, and those of one bucket
+are placed alike. A queue is computed for each kind of item, and a single event adds little
+memory."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Beliefs:
-    """What a round believes of the samplers that may run one kind of item.
+class _RoundView:
+    """State of the samplers for one kind of item, as of one assignment round.
 
     Attributes
     ==========
 
-    slow : ids of those that turned slow.
-    classes : class of pace, by id; empty if it does not count.
-    behind : weight versions behind the newest, by id; empty if it does not count.
-    memory : of each sampler; None if it is not known or does not count.
-    zone : of this process.
+    slow : ids of the samplers that are slow now; see `Cost.is_slow`.
+    classes : pace class by sampler id; empty if it is ignored for this kind of item.
+    versions_behind : number of weight versions behind the newest one, by sampler id; empty if it is
+        ignored for this kind of item.
+    memory : memory of each sampler; None if it is unknown or ignored for this kind of item.
+    zone : zone of this process.
     now : monotonic time of the round.
-    may_send : whether a sampler bears one more request now: a cold one bears few.
+    may_send : whether this process may send one more request to a sampler now; limits requests to
+        cold samplers.
     """
 
     slow: set[str]
     classes: dict[str, int]
-    behind: dict[str, int]
+    versions_behind: dict[str, int]
     memory: EngineMemory | None
     zone: str
     now: float
@@ -153,79 +179,81 @@
 
 
 class _Queue:
-    """Samplers that may run one kind of item, the best first.
+    """Priority queue of the samplers that may run one kind of item, the lowest cost first.
 
-    Loads only grow while places are given, so a cost that is out of date is too low: the sampler
-    is put back with its new one when it comes up.
+    Loads only grow during a round, so an outdated cost is always too low. A sampler whose cost
+    proves outdated when it reaches the head of the queue is pushed back with its current cost.
 
     Parameters
     ==========
 
-    need : of the first such item; the runs of the others are of about the same size.
+    need : need of the first item of this kind; the runs of the others have about the same size.
     """
 
-    def __init__(self, back_ends: list[BackEnd], need: PlaceNeed, beliefs: _Beliefs) -> None:
+    def __init__(self, back_ends: list[BackEnd], need: PlaceNeed, view: _RoundView) -> None:
         self._need = need
-        self._beliefs = beliefs
-        self._numbers = itertools.count()
-        self._tie_breaks = {one.record.id: random.random() for one in back_ends}
-        self._heap = [(self._cost(one), next(self._numbers), one) for one in back_ends]
+        self._view = view
+        self._entry_numbers = itertools.count()
+        self._tie_breaks = {back_end.record.id: random.random() for back_end in back_ends}
+        self._heap = [
+            (self._cost(back_end), next(self._entry_numbers), back_end) for back_end in back_ends
+        ]
         heapq.heapify(self._heap)
 
     def _cost(self, back_end: BackEnd) -> Cost:
-        key, beliefs = back_end.record.id, self._beliefs
+        key, view = back_end.record.id, self._view
         return Cost(
-            turned_slow=key in beliefs.slow,
+            is_slow=key in view.slow,
             lacks_memory=self._lacks_memory(back_end),
-            pace_class=beliefs.classes.get(key, 0),
-            versions_behind=beliefs.behind.get(key, 0),
-            load=back_end.expected_load(beliefs.now),
-            in_other_zone=back_end.record.zone != beliefs.zone,
+            pace_class=view.classes.get(key, 0),
+            versions_behind=view.versions_behind.get(key, 0),
+            load=back_end.expected_load(view.now),
+            in_other_zone=back_end.record.zone != view.zone,
             tie_break=self._tie_breaks[key],
         )
 
     def _lacks_memory(self, back_end: BackEnd) -> bool:
-        memory = self._beliefs.memory
+        memory = self._view.memory
         if memory is None:
             return False
-        return not back_end.has_memory_for(self._need.size, memory, self._beliefs.now)
+        return not back_end.has_memory_for(self._need.size, memory, self._view.now)
 
     def _has_room(self, back_end: BackEnd) -> bool:
-        if not self._beliefs.may_send(back_end, self._beliefs.now):
+        if not self._view.may_send(back_end, self._view.now):
             return False
-        most = max(1.0, self._need.slots_share * slots_of(back_end))
-        return back_end.expected_load(self._beliefs.now) < most
+        max_load = max(1.0, self._need.slots_share * slots_of(back_end))
+        return back_end.expected_load(self._view.now) < max_load
 
     def best(self, avoided: str) -> BackEnd | None:
-        """The best sampler with room; an avoided one only when there is no other."""
-        put_aside: tuple[Cost, int, BackEnd] | None = None
+        """The cheapest sampler with room; the avoided one only if no other has room."""
+        avoided_entry: tuple[Cost, int, BackEnd] | None = None
         found: BackEnd | None = None
         while self._heap and found is None:
             cost, _, back_end = heapq.heappop(self._heap)
             current = self._cost(back_end)
             if not self._has_room(back_end):
                 continue
-            entry = (current, next(self._numbers), back_end)
+            entry = (current, next(self._entry_numbers), back_end)
             if current > cost:
                 heapq.heappush(self._heap, entry)
             elif back_end.record.id == avoided:
-                put_aside = entry
+                avoided_entry = entry
             else:
                 found = back_end
                 heapq.heappush(self._heap, entry)
-        if put_aside is not None:
-            heapq.heappush(self._heap, put_aside)
-            return found or put_aside[2]
+        if avoided_entry is not None:
+            heapq.heappush(self._heap, avoided_entry)
+            return found or avoided_entry[2]
         return found
 
 
 class AssignmentRound:
-    """Assigns places to many items at one moment.
+    """Assigns places to many items in one round, for a fixed time.
 
     Parameters
     ==========
 
-    zone : samplers there are preferred between equals.
+    zone : zone of this process; among otherwise equal samplers those in this zone are preferred.
     """
 
     def __init__(
@@ -240,20 +268,20 @@
         self._paces = paces
         self._zone = zone
         self._now = time.monotonic()
-        self._queues: dict[_Kind, _Queue] = {}
-        self._slow: dict[str, set[str]] = {}
+        self._queues: dict[_ItemKind, _Queue] = {}
+        self._slow_ids: dict[str, set[str]] = {}
 
     def take(self, request: PlaceRequest) -> BackEnd | None:
-        """The sampler for a request; None while there is no room."""
+        """The sampler for a request; None if no suitable one has room."""
         need = request.need
-        kind = _Kind(
+        kind = _ItemKind(
             request.service,
             need.model,
             need.min_version,
             need.is_long,
             need.slots_share,
             request.only_version,
-            need.size.events // SIZE_STEP_EVENTS,
+            need.size.events // SIZE_BUCKET_EVENTS,
         )
         queue = self._queues.get(kind)
         if queue is None:
@@ -263,16 +291,16 @@
     def _make_queue(self, request: PlaceRequest) -> _Queue:
         need = request.need
         service = self._registry.of_service(request.service)
-        if request.service not in self._slow:
-            self._slow[request.service] = self._paces.slow_ids(service)
+        if request.service not in self._slow_ids:
+            self._slow_ids[request.service] = self._paces.slow_ids(service)
         candidates = [
-            one
-            for one in service
-            if one.avoid_until <= self._now
-            and may_serve(one, need.model, need.min_version, request.only_version)
+            back_end
+            for back_end in service
+            if back_end.avoid_until <= self._now
+            and may_serve(back_end, need.model, need.min_version, request.only_version)
         ]
-        beliefs = _Beliefs(
-            self._slow[request.service],
+        view = _RoundView(
+            self._slow_ids[request.service],
             self._paces.classes(candidates) if need.is_long else {},
             _versions_behind(candidates, need.model) if need.is_long else {},
             self._memory_of(request.service) if need.item else None,
@@ -280,14 +308,14 @@
             self._now,
             self._registry.may_send,
         )
-        return _Queue(candidates, need, beliefs)
+        return _Queue(candidates, need, view)
 
 
 def _versions_behind(back_ends: list[BackEnd], model: str) -> dict[str, int]:
-    """How far each sampler is behind the newest version of a model.
+    """Number of versions of a model by which each sampler is behind the newest one, by sampler id.
 
-    One that is behind loads soon, which breaks its runs off.
+    A sampler that is behind will soon load the newest version, which interrupts its runs.
     """
-    versions = {one.record.id: one.version_of(model) for one in back_ends}
+    versions = {back_end.record.id: back_end.version_of(model) for back_end in back_ends}
     newest = max(versions.values(), default=0)
     return {key: newest - version for key, version in versions.items()}
--- a/tests/jobs/test_places.py
+++ b/tests/jobs/test_places.py
@@ -1,5 +1,4 @@
-"""The rule by which samplers are ordered, by itself: no clock, no task, no draw of a random
-number."""
+"""The order of samplers by cost, without clocks, tasks or random numbers."""
 
 import pytest
 from hypothesis import given
@@ -31,7 +30,7 @@
 
 def test_the_order_of_what_counts():
     assert Cost._fields == (
-        "turned_slow",
+        "is_slow",
         "lacks_memory",
         "pace_class",
         "versions_behind",
