--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -1,8 +1,9 @@
-"""Asks for the score of an item whose text is whole.
+"""Requests the score of an item whose text is complete.
 
-The request goes by the routes in force and may be repeated: until a back end answers it, until so
-many back ends said that they ran it and failed, or until the job ends. It is sent only after the
-last event of the text is held, so its answer always belongs to that text.
+The request follows the routes of the newest configuration. It is retried until a back end answers
+it, until back ends have run it and reported a failure as often as the routes allow, or until the
+job ends. It is sent only after this process has received the last event of the text, so the score
+always belongs to the complete text.
 """
 
 from __future__ import annotations
@@ -47,10 +48,11 @@
     """Sends scoring requests to back ends."""
 
     async def score(self, back_end: BackEnd, request: ScoringRequest, deadline: float) -> str:
-        """The signature of the answer.
+        """Send a scoring request and return the signature of the answer.
 
         Args:
-            deadline: time of promises at which the back end is to stop its work.
+            deadline: time at which the back end is to stop its work, on the clock of
+                `clocks.promised_s`.
 
         Raises:
             AttemptNotRun, AttemptBroken, ScoringFailed
@@ -62,13 +64,14 @@
 
 
 class ItemScorer:
-    """The scoring requests of one process's jobs.
+    """Sends the scoring requests of one process's jobs.
 
     Parameters
     ==========
 
-    find_route : the route of a scoring request in the newest configuration.
-    guard : holds back scoring requests under which back ends ended.
+    find_route : returns the route of a scoring request in the newest configuration, None if there
+        is none.
+    guard : holds back scoring requests that are suspected of crashing back ends.
     """
 
     def __init__(
@@ -92,13 +95,14 @@
         rank: tuple[float, ...],
         job_attempts: int,
     ) -> str | None:
-        """The score of an item; None when its scoring request failed too often.
+        """The score of an item; None if its scoring request failed too often.
 
         Parameters
         ==========
 
-        job_attempts : failures that the route of the job allows; the route of the scoring request
-            may allow more.
+        rank : sort key among all waiting items; the smallest is served first.
+        job_attempts : `max_attempts` of the job's route; the route of the scoring request may allow
+            more.
         """
         run = _ScoringRun(self._client, self._guard, job, item, request)
         try:
@@ -120,13 +124,13 @@
                 score = await run.attempt(place.route, place.back_end)
             if score is not None:
                 return score
-            if run.may_give_up(max_scoring_failures(place.route, job_attempts), place.back_end):
+            if run.should_give_up(max_scoring_failures(place.route, job_attempts), place.back_end):
                 return None
             await asyncio.sleep(run.backoff.next_delay())
 
 
 class _ScoringRun:
-    """One item's scoring request and what happened to it so far."""
+    """One item's scoring request, with the state of its attempts."""
 
     def __init__(
         self,
@@ -143,21 +147,21 @@
         self._item = item
         self._request = request
         self._failures = 0
-        self._silences = 0
+        self._timeouts = 0
         self._started_at = time.monotonic()
         self.avoided = ""
-        """Id of the back end that was asked last."""
+        """Id of the back end to which the last attempt was sent; empty before the first one."""
         self.backoff = Backoff(SCORING_RETRY_BASE_S, SCORING_RETRY_CAP_S)
 
     async def attempt(self, route: Route, back_end: BackEnd) -> str | None:
-        """One call; None when it gave no score."""
-        patience_s = scoring_timeout_s(route, self._silences)
+        """Send the request once; None if the attempt gave no score."""
+        timeout_s = scoring_timeout_s(route, self._timeouts)
         self.avoided = back_end.record.id
-        self._log("scoring_sent", back_end, f"patience {patience_s:.2f} s")
+        self._log("scoring_sent", back_end, f"patience {timeout_s:.2f} s")
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 with self.trial.sending() as send:
-                    deadline = clocks.promised_s() + patience_s
+                    deadline = clocks.promised_s() + timeout_s
                     call = self._client.score(back_end, self._request, deadline)
                     score = await record_send_outcome(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
@@ -172,7 +176,7 @@
             self.trial.report_if_held()
             return None
         except TimeoutError:
-            self._silences += 1
+            self._timeouts += 1
             back_end.failed()
             self._log("scoring_broken", back_end, "no answer in time")
             return None
@@ -184,9 +188,9 @@
         self._log("scoring_done", back_end, score)
         return score
 
-    def may_give_up(self, most_failures: int, back_end: BackEnd) -> bool:
-        """Whether the request failed as often as the routes allow."""
-        if self._failures < most_failures:
+    def should_give_up(self, max_failures: int, back_end: BackEnd) -> bool:
+        """Whether the request has failed as often as the routes allow; if so, log that."""
+        if self._failures < max_failures:
             return False
         self._log("scoring_given_up", back_end, f"failure {self._failures}")
         return True
