--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -1,8 +1,8 @@
-"""Makes the result of an item: its text at samplers, then the score of that text.
+"""Produces the result of an item: generates its text at samplers, then requests its score.
 
-Owns what this process learns of how long items hold places. Relies on ItemRun and ItemScorer. A
-text that is whole but lacks its score stays in `kept`: who takes the job over only asks for the
-score.
+Owns this process's estimate of how long items hold places. Relies on ItemRun and ItemScorer. A text
+that is complete but lacks its score stays in `kept`, so that a process that takes the job over
+requests only the score.
 """
 
 from __future__ import annotations
@@ -12,19 +12,20 @@
 import msgspec
 
 from crankseam.jobs.item_retry import DEFAULT_MAX_ATTEMPTS, DEFAULT_MAX_QUEUE_S
-from crankseam.jobs.item_run import ItemRun, RunParts, whole_result
+from crankseam.jobs.item_run import ItemRun, RunParts, unscored_result
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.scoring import ItemScorer
 
 
 class ItemMaker:
-    """What all items of a process's jobs are made with.
+    """Produces the results of all items of a process's jobs.
 
     Parameters
     ==========
 
-    parts : what their runs use.
+    parts : dependencies of the items' runs.
+    scorer : requests the scores of the items' texts.
     """
 
     def __init__(self, parts: RunParts, scorer: ItemScorer) -> None:
@@ -34,12 +35,12 @@
         self.item_seconds = ItemSeconds()
 
     def longest_queue_s(self, job: JobDefinition) -> float:
-        """How long after its job was submitted an item may be given up."""
+        """The `max_queue` of the job's route: seconds after which an item may be given up."""
         route = self._find_route(job)
         return route.longest_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
 
     def due_s(self, job: JobDefinition) -> float:
-        """How long after it was submitted a job's results are due."""
+        """Seconds after its submission at which a job's results are due; infinite if never."""
         route = self._find_route(job)
         return route.due_s if route is not None else math.inf
 
@@ -51,11 +52,19 @@
         kept: PartialText,
         is_long: bool,
     ) -> ItemResult:
-        """The item's result; `kept` grows meanwhile. See ItemRun."""
+        """Generate and score an item.
+
+        Parameters
+        ==========
+
+        rank : sort key among all waiting items of this process; the smallest is served first.
+        kept : text generated so far, which is extended in place.
+        is_long : whether the item is expected to be among its job's longest.
+        """
         if kept.whole:
-            result = whole_result(item, kept)
+            result = unscored_result(item, kept)
         else:
-            result = await self._result_of(ItemRun(job, item, rank, self._parts, kept, is_long))
+            result = await self._run_item(ItemRun(job, item, rank, self._parts, kept, is_long))
         if not result.completed or item.scoring is None:
             return result
         route = self._find_route(job)
@@ -65,10 +74,10 @@
             return ItemResult(item.id, False)
         return msgspec.structs.replace(result, score=score)
 
-    async def _result_of(self, run: ItemRun) -> ItemResult:
-        """Run an item, and learn how long it held places if all of it was made here."""
-        begun_elsewhere = bool(run.kept.events)
+    async def _run_item(self, run: ItemRun) -> ItemResult:
+        """Generate an item's text; record how long it held places if all of it was made here."""
+        was_resumed = bool(run.kept.events)
         result = await run.run()
-        if result.completed and not begun_elsewhere:
+        if result.completed and not was_resumed:
             self.item_seconds.ended(run.job.model, run.item, run.held_s)
         return result
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -77,7 +77,7 @@
         """
 
 
-def whole_result(item: ItemDefinition, text: PartialText) -> ItemResult:
+def unscored_result(item: ItemDefinition, text: PartialText) -> ItemResult:
     """The result of an item whose text is whole; without a score."""
     return ItemResult(item.id, True, "\n".join(text.events), list(text.versions))
 
@@ -257,7 +257,7 @@
         back_end.succeeded()
         self._log("item_done", back_end, "whole")
         self.kept.whole = True
-        return whole_result(self.item, self.kept)
+        return unscored_result(self.item, self.kept)
 
     def _given_up(self) -> ItemResult:
         return ItemResult(self.item.id, False)
