--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -114,7 +114,7 @@
 
 
 def granted(dispatcher, back_end, min_version=0, is_long=False):
-    """The sampler to which a run would move right now; its place is released again."""
+    """The sampler to which a run would migrate now, None if there is none; releases the place."""
     need = PlaceNeed((0.0,), "m", min_version, is_long=is_long, size=RunSize(0, 20))
     request = dispatcher.request_migration(None, back_end, need)
     place = dispatcher.end_migration(request) if request is not None else None
@@ -142,7 +142,7 @@
     assert dispatcher.paces.slow_ids(back_ends) == {back_ends[0].record.id}
     assert granted(dispatcher, back_ends[0]) in back_ends[1:]
     assert not granted(dispatcher, back_ends[3])
-    assert not granted(dispatcher, back_ends[0], min_version=2), "none carries version 2"
+    assert not granted(dispatcher, back_ends[0], min_version=2), "no sampler has version 2"
     for one in back_ends[1:]:
         one.in_flight = 4
     assert not granted(dispatcher, back_ends[0])
@@ -192,7 +192,7 @@
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
         task.cancel()
-    assert fast.in_flight == 3 and slow.in_flight == 4, "the waiting item's place and no other"
+    assert fast.in_flight == 3 and slow.in_flight == 4, "the waiting item holds its place, the run none"
 
 
 def registry_of_versions(*versions):
@@ -208,7 +208,7 @@
     for one in registry.of_service("llm")[1:]:
         one.in_flight = 3
     route = make_route(single_version=True)
-    result = await run_item_keeping_others(samplers, registry, route)
+    result = await run_item_beside_others(samplers, registry, route)
     assert result.text == "e1\ne2\ne3\ne4" and result.versions == [1]
     assert [(one, after) for one, _, after in samplers.attempts] == [("s0", 0), ("s0", 2)]
 
@@ -222,8 +222,8 @@
     assert samplers.attempts[0][2] == 0
 
 
-async def run_item_keeping_others(samplers, registry, route):
-    """Like run_item, beside runs of others that stay."""
+async def run_item_beside_others(samplers, registry, route):
+    """Like run_item, but keeps the places that other runs hold at the samplers."""
     dispatcher = Dispatcher(registry, "z")
     task = asyncio.create_task(dispatcher.run())
     run = make_run(dispatcher, samplers, route)
@@ -235,7 +235,10 @@
 
 
 async def test_an_item_that_waits_for_its_texts_version_begins_anew_once_that_is_gone(samplers):
-    """Else it would wait for ever: the last sampler of the version was full, then it loaded."""
+    """Guards against an item that waits forever for the version that made its text.
+
+    The only sampler with that version is full, and then loads a newer one.
+    """
     registry = registry_of_versions(1, 2)
     last_of_its_version, newer = registry.of_service("llm")
     last_of_its_version.in_flight, newer.in_flight = 4, 3
@@ -247,7 +250,7 @@
     running = asyncio.create_task(run.run())
     try:
         await asyncio.sleep(0.1)
-        assert not samplers.attempts, "it waits for a place where its version is"
+        assert not samplers.attempts, "the item waits for a sampler with its version"
         last_of_its_version.observed_versions["m"] = 2
         async with asyncio.timeout(10):
             assert (await running).text == "e1\ne2"
