--- a/src/crankseam/jobs/migration.py
+++ b/src/crankseam/jobs/migration.py
@@ -3,12 +3,12 @@
 Inputs: the pace of each sampler, that is, the seconds between two events of a run there (the steady
 pace is smoothed over 2 s, the recent one over 0.3 s; both are valid for 15 s); the number of events
 that the run has generated; the time since its last migration.
-Rule: a run requests a place at a sampler whose pace is shorter than its own sampler's recent pace
-by at least SLOW_FACTOR. A long run, which its step waits for, also requests one if that pace is
-shorter than its own sampler's steady pace by at least LONG_RUN_SLOW_FACTOR. The run keeps its place
-until another one is granted; then its old place is free for a waiting item. Among the requesting
-runs, the one with the most events is served first. Among the samplers with room, the one that is
-least behind the newest weight version is chosen, then the fastest.
+Rule: a run requests a place at a sampler whose pace is below the recent pace of its own sampler
+divided by SLOW_FACTOR. For a long run, which its step waits for, a pace below the steady pace of
+its own sampler divided by LONG_RUN_SLOW_FACTOR also suffices. The run keeps its place until another
+one is granted; then its old place is free for a waiting item. Among the requesting runs, the one
+with the most events is served first. Among the suitable samplers with room, the one least behind
+the newest weight version is chosen, and the fastest one of these.
 Purpose: keeps steps short, since a step ends with its longest item, without moving a run back and
 forth between two samplers.
 Logged as: `item_moved`.
@@ -22,8 +22,8 @@
 from crankseam.serving.paces import SLOW_FACTOR
 
 LONG_RUN_SLOW_FACTOR = 1.2
-"""A long run, which its step waits for, migrates to a sampler that is faster than the steady pace
-of its own by at least this factor."""
+"""A long run, which its step waits for, migrates to a sampler that is faster by this factor than
+the steady pace of its own."""
 COOLDOWN_S = 1.0
 """Minimum time between two migrations of a run. Without it, runs were moved back and forth between
 two samplers: 472 streams were cut in one trial."""
--- a/tests/jobs/test_migration.py
+++ b/tests/jobs/test_migration.py
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     ("later_s", "is_due"), [(SEARCH_INTERVAL_S / 2, False), (SEARCH_INTERVAL_S, True)]
 )
-def test_a_run_looks_now_and_then(later_s, is_due):
+def test_a_run_searches_at_intervals(later_s, is_due):
     timer = MigrationTimer()
     assert timer.begin_search_if_due(100.0)
     assert timer.begin_search_if_due(100.0 + later_s) == is_due
