--- a/tests/jobs/test_item_seconds.py
+++ b/tests/jobs/test_item_seconds.py
@@ -34,7 +34,7 @@
     assert item_seconds.mean_s(job([10, 10, 100])) == pytest.approx(1.6)
 
 
-def test_what_is_learned_follows_what_ends():
+def test_the_estimate_follows_recent_items():
     item_seconds = ItemSeconds()
     for number in range(300):
         item_seconds.ended("m", item(number), 1.0)
