--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -6,7 +6,8 @@
 Rule: a sampler is no candidate while it is avoided, while it has no free slot for this kind of
 item, while it is cold and this process has used up its share of requests there, or if its weight
 version is unsuitable. The candidates are ordered by `Cost`, compared field by field. The sampler
-that the item was just moved away from is chosen only if there is no other candidate.
+where the item's previous attempt failed, or from which it was just migrated, is chosen only if
+there is no other candidate.
 Purpose: keeps the longest items of a step away from samplers that are slow, overloaded or about to
 load a weight version, and spreads all other items so that no sampler builds up a queue.
 Logged as: `item_sent`, `scoring_sent` (with the load in `reason` of `item_sent`).
@@ -61,8 +62,8 @@
     ==========
 
     rank : sort key; the smallest is served first.
-    avoided : id of a back end that is chosen only if there is no other, because the last attempt
-        failed there or the item was moved away from it; empty if none.
+    avoided : id of the back end where the previous attempt failed, or from which the item was just
+        migrated; it is chosen only if there is no other. Empty if none.
     is_long : whether the step is likely to wait for the item, which then prefers the fastest
         samplers.
     slots_share : share of a back end's slots that requests of this kind may fill.
--- a/tests/jobs/test_places.py
+++ b/tests/jobs/test_places.py
@@ -28,7 +28,7 @@
     assert worse_after < worse_here
 
 
-def test_the_order_of_what_counts():
+def test_the_order_of_cost_fields():
     assert Cost._fields == (
         "is_slow",
         "lacks_memory",
