--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -3,11 +3,11 @@
 Inputs: the job's priority; the time at which the job started in this process (monotonic); the
 hinted output length in tokens, which is often far off; the number of events that a run has
 generated.
-Rule: items are served in ascending order of rank, that is, by priority, then by start time rounded
-down to spans of START_SPAN_S, then by descending length hint, then in order of submission. An item
-counts as long if its hint is well above the median of its job, or once its run has generated
-LONG_RUN_EVENTS events. Items that have not started and are not long leave a share of each sampler's
-slots free; scoring requests leave half of them free.
+Rule: items are served in ascending order of rank, that is, by priority (0 first), then by start
+time rounded down to spans of START_SPAN_S, then by descending length hint, then by position in the
+job. An item counts as long if its hint exceeds LONG_HINT_FACTOR times the median hint of its job,
+or once its run has generated LONG_RUN_EVENTS events. Items that have not started and are not long
+leave a share of each sampler's slots free; scoring requests leave half of them free.
 Purpose: keeps training steps short, since a step ends with its longest item, and protects callers
 whose requests use the same back ends as scoring requests.
 Logged as: `item_sent`, `scoring_sent`.
