--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -48,7 +48,7 @@
 SCORING_TIMEOUT_FACTOR = 3.0
 """A scoring request times out after this multiple of its route's target latency, so that a lost
 response is soon requested again elsewhere. The time-out doubles with each time-out of the request,
-up to the route's timeout."""
+up to the route's own time-out."""
 SCORING_MIN_TIMEOUT_S = 0.5
 """Lower bound of the first time-out of a scoring request, for routes with a short target
 latency."""
