--- a/tests/jobs/test_dispatcher.py
+++ b/tests/jobs/test_dispatcher.py
@@ -30,7 +30,7 @@
         assert await dispatcher.acquire(PlaceNeed((0.0,), "m", 1), "svc") is slower
         fast.in_flight = 8
         need = PlaceNeed((0.0,), "m", 1, is_long=True)
-        assert await dispatcher.acquire(need, "svc") is slower, "full"
+        assert await dispatcher.acquire(need, "svc") is slower, "the fast sampler is full"
     finally:
         dispatching.cancel()
 
@@ -48,7 +48,7 @@
     assert request.granted is fast and fast.in_flight == 1
     dispatcher.release(dispatcher.end_migration(request))
     request = dispatcher.request_migration(None, slower, short_need)
-    assert request.granted is None and dispatcher.end_migration(request) is None, "not that slow"
+    assert request.granted is None and dispatcher.end_migration(request) is None, "not slow enough"
     assert fast.in_flight == 0
 
 
@@ -111,7 +111,7 @@
         assert "d" not in free.runs
         need = PlaceNeed((0.0,), "m", 1, item="e", size=RunSize(250, 0))
         short = await dispatcher.acquire(need, "llm")
-        assert short is full, "the least loaded one where there is memory enough"
+        assert short is full, "the least loaded one with enough memory"
     finally:
         running.cancel()
 
