--- a/src/crankseam/orders/__init__.py
+++ b/src/crankseam/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Fenced orders to samplers: which of them load which weight version, and when."""
+"""Fenced orders that tell samplers which weight version to load, and when."""
