--- a/src/crankseam/orders/messages.py
+++ b/src/crankseam/orders/messages.py
@@ -1,6 +1,7 @@
-"""What is ordered of a sampler, and what it reports.
+"""Orders to samplers, and the reports that samplers return.
 
-Free of any wire: an adapter implements `SamplerControl` by the protocol of its samplers.
+Independent of any wire format: a platform adapter implements `SamplerControl` for the protocol of
+its samplers.
 """
 
 from __future__ import annotations
@@ -14,24 +15,26 @@
 
 
 class RunningRequests(enum.Enum):
-    """What happens to requests that run while a version changes."""
+    """How a sampler treats its running requests when it changes a weight version."""
 
     FINISH = "finish"
-    """They finish first, and nothing new begins meanwhile."""
+    """They finish before the load starts, and no new request starts in the meantime."""
     CONTINUE = "continue"
-    """They go on under the new version, after standing still while it loads."""
+    """They pause while the version loads, and continue under the new version."""
     BREAK_OFF = "break_off"
-    """Their streams are reset, to be resumed at another sampler at once."""
+    """Their streams are reset, so that they can be resumed at another sampler at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class SamplerReport:
-    """A sampler's own word.
+    """The state that a sampler reports about itself.
 
-    Attributes:
-        versions: weight version by model.
-        busy: an order is under way.
-        sequence: orders taken since its start.
+    Attributes
+    ==========
+
+    versions : loaded weight version by model.
+    busy : whether an order is in progress.
+    sequence : number of orders that the sampler has accepted since it started.
     """
 
     versions: dict[str, int]
@@ -41,7 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionOrder:
-    """Bring a model to a version; refused unless `expected_sequence` is the sampler's."""
+    """Order to load a version of a model.
+
+    The sampler refuses the order unless `expected_sequence` equals its own sequence number.
+
+    Attributes
+    ==========
+
+    running : how the sampler treats its running requests.
+    holder : the process that holds the duty to give orders.
+    fence : fencing token of that duty.
+    """
 
     model: str
     version: int
@@ -52,22 +65,36 @@
 
 
 class OrderRefused(CrankseamError):
-    """The sampler did not take the order: another is under way, or the sequence has moved."""
+    """The sampler refused the order: another one is in progress, or its sequence has changed."""
 
 
 class OrderFenced(CrankseamError):
-    """A newer holder has given orders: this one must stop."""
+    """A newer holder of the duty has given orders, so this process must stop giving them."""
 
 
 class OrderUnanswered(CrankseamError):
-    """No answer came: the order may be carried out, now or seconds later."""
+    """No usable answer arrived: the order may still be carried out, now or seconds later."""
 
 
 class SamplerControl(Protocol):
-    """Orders and reports of samplers."""
+    """Gives orders to samplers and reads their reports."""
 
     async def report(self, back_end: BackEnd) -> SamplerReport:
-        """The sampler's state some moments ago; raises OrderUnanswered if it can't be had."""
+        """Return the state of the sampler, which may be slightly out of date.
+
+        Raises
+        ======
+
+        OrderUnanswered : the state could not be obtained.
+        """
 
     async def order_version(self, back_end: BackEnd, order: VersionOrder) -> None:
-        """Give the order; raises OrderRefused, OrderFenced, OrderUnanswered."""
+        """Give the order to the sampler.
+
+        Raises
+        ======
+
+        OrderRefused : the sampler did not accept the order.
+        OrderFenced : the sampler has seen a higher fencing token.
+        OrderUnanswered : the order may or may not be carried out.
+        """
