--- a/src/crankseam/orders/demand.py
+++ b/src/crankseam/orders/demand.py
@@ -1,6 +1,7 @@
-"""What the open jobs of each model need, as the coordinator of versions asks for it.
+"""Interface by which the version coordinator learns what the open jobs of each model need.
 
-Owns nothing: `crankseam.jobs.demand.ModelDemand` answers where jobs run, `UnknownDemand` elsewhere.
+Holds no state. `crankseam.jobs.demand.ModelDemand` implements the interface in processes that run
+jobs, and `UnknownDemand` in all others.
 """
 
 from __future__ import annotations
@@ -9,20 +10,20 @@
 
 
 class Demand(Protocol):
-    """What the open jobs of each model need."""
+    """Demand of the open jobs of each model."""
 
     def items_of(self, model: str) -> int | None:
-        """How many items want to run at once; None if that is not known."""
+        """Return how many items need to run at the same time; None if unknown."""
 
     def work_s_of(self, model: str) -> float | None:
-        """Seconds for which these items hold slots of samplers; None if that is not known."""
+        """Return the total seconds for which these items occupy sampler slots; None if unknown."""
 
     def needed_version(self, model: str) -> int | None:
-        """The oldest version that may serve the newest job; None if that is not known."""
+        """Return the oldest version that may serve the newest job; None if unknown."""
 
 
 class UnknownDemand:
-    """See Demand; nothing is known."""
+    """Implementation of Demand for processes that do not know the open jobs."""
 
     def items_of(self, model: str) -> int | None:
         """See Demand."""
