--- a/src/crankseam/orders/running_requests.py
+++ b/src/crankseam/orders/running_requests.py
@@ -1,12 +1,14 @@
-"""What is done with the requests that run at a sampler while it loads a version?
+"""Decides what happens to the requests that run on a sampler while it loads a version.
 
 Inputs: the routes of the newest configuration that lead to the model.
-Rule: callers' own streams go on over the load. Runs of jobs are broken off, unless one version must
-make a whole text: then they finish first.
-Protects: a stream of a caller must not break; a run of a job goes on at another sampler at once,
-but would begin anew where its version is gone (waiting for such runs: worth 0.34 -> 0.42 on a site
-of single versions, and 0.79 -> 0.76 where it was done for all).
-Shown by: `version_ordered`. Held by: tests/orders/test_running_requests.py.
+Rule: streams of callers continue across the load. Job runs are broken off, unless a route requires
+that a single version generates the whole text: then they finish before the load starts.
+Purpose: the stream of a caller must not break. A job run that is broken off continues on another
+sampler at once, but has to start over if its version is no longer available. Waiting for such runs
+raised the worth from 0.34 to 0.42 on a site of single-version routes; waiting for all job runs
+lowered it from 0.79 to 0.76.
+Logged as: `version_ordered`.
+Tested by: tests/orders/test_running_requests.py.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 
 
 def running_requests_under(routes: Iterable[Route]) -> RunningRequests:
-    """The treatment that costs least under these routes."""
+    """Return the least costly treatment of running requests that these routes allow."""
     routes = tuple(routes)
     if any(route.kind is RequestKind.STREAM for route in routes):
         return RunningRequests.CONTINUE
