--- a/src/crankseam/orders/shares.py
+++ b/src/crankseam/orders/shares.py
@@ -1,31 +1,33 @@
-"""What part of a service's samplers does each of its models get?
-
-Inputs: seconds for which the models' open items hold slots of samplers, from the keys of open jobs.
-Rule: by work, but half of an equal share at least. Shares stand until one is off by a step; while
-the work of a model is not known, all are equal.
-Protects: a model whose items are more work falls behind with an equal share, and loses the steps of
-its trainer, while another one has samplers to spare.
-Shown by: `samplers_shared`. Held by: tests/orders/test_shares.py.
+"""Decides which share of a service's samplers each of its models gets.
+
+Inputs: the total seconds for which the open items of each model occupy sampler slots, from the keys
+of open jobs.
+Rule: shares follow this work, but each model gets at least half of an equal share. Shares stay as
+they are until one of them deviates from its new value by more than a threshold. All shares are
+equal until the work of every model of the service is known.
+Purpose: with equal shares, a model whose items take more work falls behind and its trainer loses
+steps, while another model has samplers to spare.
+Logged as: `samplers_shared`.
+Tested by: tests/orders/test_shares.py.
 """
 
 from __future__ import annotations
 
-LEAST_OF_EQUAL = 0.5
-"""Of an equal share, a model with little work still gets so much: its items come all at once. Set
-with the sharing by work itself (docs/DECISIONS.md); origin of the figure not recorded."""
-SHARE_STEP = 0.06
-"""Part of the samplers by which a share must be off before all are changed: each sampler that then
-carries another model costs a load. Set with the sharing by work itself; origin of the
-figure not recorded."""
+MIN_EQUAL_SHARE_FRACTION = 0.5
+"""Fraction of an equal share that a model gets even with little work, since all of its items arrive
+at the same time."""
+REBALANCE_THRESHOLD = 0.06
+"""Deviation of a share, as a fraction of the service's samplers, above which all shares change.
+Smaller deviations are ignored because each sampler that is assigned another model costs a load."""
 
 
 def shares_by_work(work_s: dict[str, float]) -> dict[str, float]:
-    """The part of the samplers that each model needs, in sum 1.
+    """Return the fraction of the samplers that each model gets; the fractions add up to 1.
 
     Parameters
     ==========
 
-    work_s : seconds for which the models' open items hold slots of samplers, by model; none is 0.
+    work_s : seconds for which the open items of each model occupy sampler slots; all positive.
 
     Examples
     ========
@@ -35,38 +37,47 @@
     >>> shares_by_work({"a": 90.0, "b": 1.0})
     {'a': 0.75, 'b': 0.25}
     """
-    least = LEAST_OF_EQUAL / len(work_s)
+    min_share = MIN_EQUAL_SHARE_FRACTION / len(work_s)
     total_s = sum(work_s.values())
-    raised = {model: max(least, seconds / total_s) for model, seconds in work_s.items()}
-    above = sum(share - least for share in raised.values())
-    if above <= 0.0:
+    with_minimum = {model: max(min_share, seconds / total_s) for model, seconds in work_s.items()}
+    excess = sum(share - min_share for share in with_minimum.values())
+    if excess <= 0.0:
         return {model: 1.0 / len(work_s) for model in work_s}
-    left = 1.0 - least * len(work_s)
-    return {model: least + (share - least) * left / above for model, share in raised.items()}
+    distributable = 1.0 - min_share * len(work_s)
+    return {
+        model: min_share + (share - min_share) * distributable / excess
+        for model, share in with_minimum.items()
+    }
 
 
 class ModelShares:
-    """The shares of one service's models, which stand until the work has become another."""
+    """Shares of the models of one service, changed only when the work shifts by enough."""
 
     def __init__(self) -> None:
         self.shares: dict[str, float] = {}
-        """The part of the samplers by model; empty until it is known."""
+        """Fraction of the samplers by model; empty until the work of every model is known."""
 
     def update(self, models: set[str], work_s: dict[str, float]) -> dict[str, float]:
-        """The shares now; empty while the work of a model is not known.
+        """Update the shares and return them; an empty result stands for equal shares.
+
+        If the work of a model is unknown, the shares that were computed for the same models still
+        apply.
 
         Parameters
         ==========
 
         models : all models of the service.
-        work_s : seconds of work by model, of those where it is known.
+        work_s : seconds of work by model, for the models whose work is known.
         """
         if not models or not all(work_s.get(model) for model in models):
             return self.shares if self.shares.keys() == models else {}
-        wanted = shares_by_work({model: work_s[model] for model in sorted(models)})
-        if self.shares.keys() != models or self._is_off(wanted):
-            self.shares = wanted
+        new_shares = shares_by_work({model: work_s[model] for model in sorted(models)})
+        if self.shares.keys() != models or self._exceeds_threshold(new_shares):
+            self.shares = new_shares
         return self.shares
 
-    def _is_off(self, wanted: dict[str, float]) -> bool:
-        return any(abs(share - self.shares[model]) > SHARE_STEP for model, share in wanted.items())
+    def _exceeds_threshold(self, new_shares: dict[str, float]) -> bool:
+        return any(
+            abs(share - self.shares[model]) > REBALANCE_THRESHOLD
+            for model, share in new_shares.items()
+        )
--- a/tests/orders/test_shares.py
+++ b/tests/orders/test_shares.py
@@ -2,22 +2,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankseam.orders.shares import LEAST_OF_EQUAL, SHARE_STEP, ModelShares, shares_by_work
+from crankseam.orders.shares import (
+    MIN_EQUAL_SHARE_FRACTION,
+    REBALANCE_THRESHOLD,
+    ModelShares,
+    shares_by_work,
+)
 
-works = st.dictionaries(
+work_by_model = st.dictionaries(
     st.text("abcdef", min_size=1, max_size=3), st.floats(0.001, 1e6), min_size=1, max_size=6
 )
 
 
-@given(works)
+@given(work_by_model)
 def test_shares_add_up_and_nobody_is_left_without(work_s):
     shares = shares_by_work(work_s)
     assert sum(shares.values()) == pytest.approx(1.0)
-    least = LEAST_OF_EQUAL / len(work_s)
-    assert all(share >= least - 1e-9 for share in shares.values())
+    min_share = MIN_EQUAL_SHARE_FRACTION / len(work_s)
+    assert all(share >= min_share - 1e-9 for share in shares.values())
 
 
-@given(works)
+@given(work_by_model)
 def test_more_work_never_gets_less(work_s):
     shares = shares_by_work(work_s)
     by_work = sorted(work_s, key=lambda model: work_s[model])
@@ -35,9 +40,11 @@
     shares = ModelShares()
     first = shares.update({"a", "b"}, {"a": 50.0, "b": 50.0})
     assert shares.update({"a", "b"}, {"a": 54.0, "b": 46.0}) == first
-    assert shares.update({"a", "b"}, {"b": 50.0}) == first, "nobody takes back what was known"
-    moved = shares.update({"a", "b"}, {"a": 50.0 + 101.0 * SHARE_STEP, "b": 43.0})
-    assert moved["a"] > first["a"] + SHARE_STEP
+    assert shares.update({"a", "b"}, {"b": 50.0}) == first, (
+        "known shares stay in force while the work is unknown"
+    )
+    moved = shares.update({"a", "b"}, {"a": 50.0 + 101.0 * REBALANCE_THRESHOLD, "b": 43.0})
+    assert moved["a"] > first["a"] + REBALANCE_THRESHOLD
 
 
 def test_a_model_that_is_new_ends_the_old_shares():
