--- a/src/crankseam/orders/assignment.py
+++ b/src/crankseam/orders/assignment.py
@@ -1,13 +1,16 @@
-"""Which samplers carry which model: who is to hold each model's newest version?
-
-Inputs: the samplers of one service; its models with their newest named versions; the samplers' pace
-classes, the items open lately and the models' shares, where these are known (0.3 s old at most).
-Rule: each model gets its share of the samplers, no more than its items need with room to spare and
-so many at least that the loads between two steps are used. Those that carry the newest version keep
-it; the rest is spread so that each sampler carries few models and each model gets fast ones.
-Protects: a model stands still at a sampler while it loads there, and few may load at a time, so a
-sampler that carries fewer models serves more.
-Shown by: `version_ordered`, `samplers_shared`. Held by: tests/orders/test_assignment.py.
+"""Decides which samplers host which model, and so load each of its new weight versions.
+
+Inputs: the samplers of one service; its models with their newest announced versions; and, where
+known, the pace classes of the samplers, the number of open items and the share of each model. These
+values are at most 0.3 s old.
+Rule: each model is assigned its share of the samplers, but not more than its items need with some
+reserve, and at least enough to use the loads that fit between two steps. Samplers that have the
+newest version loaded keep the model. The other places are distributed so that each sampler hosts
+few models and each model gets some of the fast samplers.
+Purpose: a sampler cannot serve a model while it loads a version of it, and only few samplers may
+load at the same time, so a sampler that hosts fewer models serves more requests.
+Logged as: `version_ordered`, `samplers_shared`.
+Tested by: tests/orders/test_assignment.py.
 """
 
 from __future__ import annotations
@@ -18,59 +21,65 @@
 
 from crankseam.serving.back_ends import BackEnd
 
-LOADS_A_STEP = 6
-"""Loads that end well before the next step, at two at a time and 0.9 s each in steps of 4 s; they
-are used if they help. Set where three samplers were left to two models, each carried by two."""
-SPARE_FACTOR = 2.0
-"""Slots for each open item: a step begins while the last one's long items still run, and some
-samplers load or are slow. At 300 processes it took the orders from a third of 3,000 samplers to
-those that 192 items use; origin of the factor itself not recorded."""
+LOADS_PER_STEP = 6
+"""Loads that complete well before the next step: two at a time, 0.9 s each, in steps of 4 s. Each
+model is assigned enough samplers to use its part of them: with three samplers left for two models,
+each model was otherwise hosted by only two."""
+SLOTS_PER_OPEN_ITEM = 2.0
+"""Slots to provide for each open item. More than one is needed because a step begins while long
+items of the previous step still run, and because some samplers are slow or loading. With 300
+processes, this limit reduced the samplers that get orders from a third of 3,000 to those that 192
+items use."""
 DEFAULT_SLOTS = 8
-"""Slots of a sampler that does not tell them; origin not recorded."""
-UNSOUND_FAILURES = 3
-"""A sampler that failed so often in a row is not counted on; origin not recorded."""
+"""Slots assumed for a sampler that does not report a number."""
+UNHEALTHY_FAILURES = 3
+"""Consecutive failures after which a sampler is assigned no model, unless all are unhealthy."""
 
 
 class _Cost(NamedTuple):
-    """What it costs that a sampler carries one more model; the least goes first.
+    """Cost of assigning one more model to a sampler; samplers with the lowest cost are chosen.
 
     Attributes
     ==========
 
-    negated_version : what is loaded stays, so an assignment stands as versions move on.
-    models : how many models it was assigned already.
-    turns : models take turns along the ranking, so each gets its part of the fast samplers.
-    rank : the sampler's place in the ranking by pace class and id.
+    negated_version : loaded version of the model, negated. Samplers with the newest version come
+        first, so that an assignment stays the same as versions advance.
+    models : number of models that the sampler has been assigned so far.
+    rotated_rank : `rank` minus the index of the model, modulo the number of models, so that each
+        model gets an equal part of the fast samplers.
+    rank : position of the sampler when sorted by pace class and id.
     """
 
     negated_version: int
     models: int
-    turns: int
+    rotated_rank: int
     rank: int
 
 
-def carrier_count(samplers: int, models: int, share: float | None = None) -> int:
-    """How many of a service's samplers carry one of its models.
+def samplers_per_model(samplers: int, models: int, share: float | None = None) -> int:
+    """Return how many samplers of a service host one of its models.
 
     Parameters
     ==========
 
-    share : the model's part of the samplers; an equal one without it.
+    samplers : number of samplers of the service.
+    models : number of models of the service.
+    share : fraction of the samplers that the model gets; by default all models get equal shares.
 
     Examples
     ========
 
-    >>> carrier_count(24, 3), carrier_count(24, 3, 0.5), carrier_count(5, 2)
+    >>> samplers_per_model(24, 3), samplers_per_model(24, 3, 0.5), samplers_per_model(5, 2)
     (8, 12, 3)
     """
-    of_share = math.ceil(samplers / models if share is None else samplers * share)
-    return min(samplers, max(of_share, LOADS_A_STEP // models))
+    count_by_share = math.ceil(samplers / models if share is None else samplers * share)
+    return min(samplers, max(count_by_share, LOADS_PER_STEP // models))
 
 
-def needed_carriers(samplers: list[BackEnd], open_items: int) -> int:
-    """How many samplers a model's items need, with room to spare."""
-    slots = statistics.median(one.record.slots or DEFAULT_SLOTS for one in samplers)
-    return max(LOADS_A_STEP, math.ceil(SPARE_FACTOR * open_items / slots))
+def needed_samplers(samplers: list[BackEnd], open_items: int) -> int:
+    """Return how many samplers the open items of a model need, including a reserve."""
+    slots = statistics.median(back_end.record.slots or DEFAULT_SLOTS for back_end in samplers)
+    return max(LOADS_PER_STEP, math.ceil(SLOTS_PER_OPEN_ITEM * open_items / slots))
 
 
 def assign(
@@ -80,44 +89,46 @@
     items: dict[str, int] | None = None,
     shares: dict[str, float] | None = None,
 ) -> dict[str, list[BackEnd]]:
-    """The samplers of one service that are to carry each model's newest version.
+    """Return the samplers of one service that are to load the newest version of each model.
 
-    A sampler that carries the newest version keeps it, so an assignment stands as long as its
-    samplers do, whoever works it out.
+    A sampler that has the newest version loaded keeps the model. An assignment therefore stays the
+    same as long as its samplers stay, whichever process computes it.
 
     Parameters
     ==========
 
-    models : newest named version by model; 0 if none was named.
-    classes : how much slower each sampler is, by id; each model gets its share of each class
-        where versions leave the choice open.
-    items : how many items want to run at once, by model, where that is known: a model that
-        needs fewer samplers than its share is not loaded on the others.
-    shares : the models' parts of the samplers; equal ones without them.
+    models : newest announced version by model; 0 if none has been announced.
+    classes : pace class by sampler id, 0 for the fastest. Where the loaded versions leave a choice,
+        each model gets an equal part of each class.
+    items : number of items that need to run at the same time, by model, where known. A model that
+        needs fewer samplers than its share is not loaded on the rest.
+    shares : fraction of the samplers by model; by default all models get equal shares.
     """
-    sound = [one for one in samplers if one.failures < UNSOUND_FAILURES] or samplers
-    ranks = _rank(sound, classes or {})
-    models_of = dict.fromkeys(ranks, 0)
+    healthy = [
+        back_end for back_end in samplers if back_end.failures < UNHEALTHY_FAILURES
+    ] or samplers
+    ranks = _rank(healthy, classes or {})
+    model_counts = dict.fromkeys(ranks, 0)
     assigned: dict[str, list[BackEnd]] = {}
-    for turn, model in enumerate(sorted(models)):
-        count = carrier_count(len(samplers), len(models), (shares or {}).get(model))
+    for index, model in enumerate(sorted(models)):
+        count = samplers_per_model(len(samplers), len(models), (shares or {}).get(model))
         open_items = (items or {}).get(model)
         if open_items is not None:
-            count = min(count, needed_carriers(samplers, open_items))
+            count = min(count, needed_samplers(samplers, open_items))
 
-        def cost(sampler: BackEnd, model: str = model, turn: int = turn) -> _Cost:
+        def cost(sampler: BackEnd, model: str = model, index: int = index) -> _Cost:
             key = sampler.record.id
-            turns = (ranks[key] - turn) % len(models)
-            return _Cost(-sampler.version_of(model), models_of[key], turns, ranks[key])
+            rotated_rank = (ranks[key] - index) % len(models)
+            return _Cost(-sampler.version_of(model), model_counts[key], rotated_rank, ranks[key])
 
-        assigned[model] = sorted(sound, key=cost)[:count]
+        assigned[model] = sorted(healthy, key=cost)[:count]
         for sampler in assigned[model]:
-            models_of[sampler.record.id] += 1
+            model_counts[sampler.record.id] += 1
     return assigned
 
 
 def _rank(samplers: list[BackEnd], classes: dict[str, int]) -> dict[str, int]:
-    """The samplers' places by pace class and id, the fastest class first."""
+    """Return the position of each sampler when sorted by pace class, fastest first, and id."""
     ids = [sampler.record.id for sampler in samplers]
     ranked = sorted(ids, key=lambda key: (classes.get(key, 0), key))
     return {key: rank for rank, key in enumerate(ranked)}
