--- a/src/crankseam/orders/assigner.py
+++ b/src/crankseam/orders/assigner.py
@@ -1,7 +1,7 @@
-"""Keeps the assignment of samplers to models, over all services, for the coordinator of versions.
+"""Maintains the assignment of samplers to models, over all services, for the version coordinator.
 
-Owns the assignment of the moment and the shares of each service's models. Relies on the registry of
-back ends, the paces of samplers and the demand of open jobs; the rules are in
+Holds the current assignment and the model shares of each service. Depends on the registry of back
+ends, the paces of samplers and the demand of open jobs. The rules are in
 `crankseam.orders.assignment` and `crankseam.orders.shares`.
 """
 
@@ -18,28 +18,36 @@
 
 log = logging.getLogger(__name__)
 
-ASSIGNMENT_KEPT_S = 0.3
-"""An assignment is worked out anew after this: one for each look took too much of a core before 300
-samplers and more. A model that is named for the first time is assigned at once in any case."""
+ASSIGNMENT_TTL_S = 0.3
+"""Age after which the assignment is recomputed. With 300 or more samplers, recomputing it in every
+pass of the coordinator took too much of a CPU core. A model that is announced for the first time is
+assigned at once in any case."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Assignment:
-    """Samplers by model, and when (monotonic seconds) and for which models they were chosen."""
+    """Assignment of samplers to models.
 
-    made_at: float = float("-inf")
+    Attributes
+    ==========
+
+    computed_at : monotonic seconds.
+    models : the announced models for which the assignment was computed.
+    """
+
+    computed_at: float = float("-inf")
     models: frozenset[str] = frozenset()
-    carriers: dict[str, list[BackEnd]] = field(default_factory=dict)
+    samplers_by_model: dict[str, list[BackEnd]] = field(default_factory=dict)
 
 
 class Assigner:
-    """Which samplers are to carry each named model's newest version.
+    """Determines the samplers that are to load the newest version of each announced model.
 
     Parameters
     ==========
 
-    paces : how fast samplers are, as far as that is known.
-    demand : what the models' open jobs need, as far as that is known.
+    paces : paces of the samplers, where known.
+    demand : what the open jobs of each model need, where known.
     """
 
     def __init__(self, registry: BackEndRegistry, paces: SamplerPaces, demand: Demand) -> None:
@@ -47,28 +55,32 @@
         self._paces = paces
         self._demand = demand
         self._shares: dict[str, ModelShares] = {}
-        """Shares of the models, by service."""
+        """Model shares by service."""
         self._current = _Assignment()
 
-    def carriers(self, versions: dict[str, int], now: float) -> dict[str, list[BackEnd]]:
-        """Samplers by named model; made anew when it is old, or when a model was named first.
+    def samplers_by_model(self, versions: dict[str, int], now: float) -> dict[str, list[BackEnd]]:
+        """Return the samplers assigned to each announced model.
+
+        The assignment is recomputed when it is too old or when the set of announced models has
+        changed.
 
         Parameters
         ==========
 
-        versions : newest named version by model.
+        versions : newest announced version by model.
         now : monotonic seconds.
         """
         current = self._current
-        if now - current.made_at > ASSIGNMENT_KEPT_S or current.models != versions.keys():
+        if now - current.computed_at > ASSIGNMENT_TTL_S or current.models != versions.keys():
             current = _Assignment(now, frozenset(versions), self.assign_all(versions))
             self._current = current
-        return current.carriers
+        return current.samplers_by_model
 
     def assign_all(self, versions: dict[str, int]) -> dict[str, list[BackEnd]]:
-        """Samplers by named model, over all services that carry one.
+        """Compute the samplers of each announced model, over all services that host one.
 
-        Models that were not named yet get their share too: what is assigned now is kept later.
+        Models without an announced version also get their share of the samplers, because samplers
+        that are assigned now are kept later.
         """
         assigned: dict[str, list[BackEnd]] = {model: [] for model in versions}
         for service, back_ends in self._by_service(versions).items():
@@ -78,30 +90,32 @@
         return assigned
 
     def _by_service(self, versions: dict[str, int]) -> dict[str, list[BackEnd]]:
-        """Samplers that carry a named model, by service."""
-        carriers = {
-            one.record.id: one for model in versions for one in self._registry.carrying(model)
+        """Return the samplers that host an announced model, by service."""
+        by_id = {
+            back_end.record.id: back_end
+            for model in versions
+            for back_end in self._registry.carrying(model)
         }
         by_service: dict[str, list[BackEnd]] = {}
-        for one in carriers.values():
-            by_service.setdefault(one.record.service, []).append(one)
+        for back_end in by_id.values():
+            by_service.setdefault(back_end.record.service, []).append(back_end)
         return by_service
 
     def _assign_service(
         self, service: str, back_ends: list[BackEnd], versions: dict[str, int]
     ) -> dict[str, list[BackEnd]]:
-        carried = {model for one in back_ends for model in one.record.versions}
-        models = {model: versions.get(model, 0) for model in carried}
+        hosted = {model for back_end in back_ends for model in back_end.record.versions}
+        models = {model: versions.get(model, 0) for model in hosted}
         classes = self._paces.classes(back_ends)
         items = {model: count for model in models if (count := self._demand.items_of(model))}
-        return assign(back_ends, models, classes, items, self._shares_of(service, carried))
+        return assign(back_ends, models, classes, items, self._shares_of(service, hosted))
 
     def _shares_of(self, service: str, models: set[str]) -> dict[str, float]:
-        known = self._shares.setdefault(service, ModelShares())
+        model_shares = self._shares.setdefault(service, ModelShares())
         work_s = {model: work for model in models if (work := self._demand.work_s_of(model))}
-        before = known.shares
-        shares = known.update(models, work_s)
-        if shares != before:
+        previous = model_shares.shares
+        shares = model_shares.update(models, work_s)
+        if shares != previous:
             rounded = {model: round(share, 2) for model, share in shares.items()}
             log.info("samplers_shared", extra={"service": service, "shares": rounded})
         return shares
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -148,7 +148,7 @@
     def _carriers(self) -> dict[str, list[BackEnd]]:
         """The samplers that are to carry each named model."""
         versions = {model: named.version for model, named in self._named.items()}
-        return self._assigner.carriers(versions, time.monotonic())
+        return self._assigner.samplers_by_model(versions, time.monotonic())
 
     def _due_loads(self, carriers: dict[str, list[BackEnd]]) -> list[Load]:
         """Samplers that are to load a newer version now, by priority."""
