--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -21,11 +21,11 @@
 from crankseam.orders.assigner import Assigner
 from crankseam.orders.demand import Demand, UnknownDemand
 from crankseam.orders.loads import (
+    AnnouncedVersion,
     Load,
     LoadPriority,
-    NamedVersion,
     due_samplers,
-    free_loads,
+    free_load_count,
     loads_to_start,
 )
 from crankseam.orders.messages import (
@@ -97,7 +97,7 @@
         self._demand = demand if demand is not None else UnknownDemand()
         self._paces = paces if paces is not None else SamplerPaces()
         self._assigner = Assigner(registry, self._paces, self._demand)
-        self._named: dict[str, NamedVersion] = {}
+        self._named: dict[str, AnnouncedVersion] = {}
         self._loading: dict[str, _LoadUnderWay] = {}
         """Loads under way by the sampler's id."""
         self.active = True
@@ -111,7 +111,7 @@
         self._named[model] = (
             known.followed_by(version, now)
             if known is not None
-            else NamedVersion.first(version, now)
+            else AnnouncedVersion.first(version, now)
         )
         log.info("version_named", extra={"model": model, "version": version})
 
@@ -169,9 +169,9 @@
         named = self._named[model]
         needed = self._demand.needed_version(model)
         late_count = 0
-        if back_ends and named.is_late(now):
+        if back_ends and named.is_late_in_step(now):
             service = back_ends[0].record.service
-            late_count = free_loads(self._registry.staying_of(service))
+            late_count = free_load_count(self._registry.staying_of(service))
         return due_samplers(
             back_ends,
             model,
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -101,7 +101,7 @@
 
 
 def due_ids(coordinator, model="a"):
-    coordinator._named[model] = replace(coordinator._named[model], loads_from=0.0)
+    coordinator._named[model] = replace(coordinator._named[model], load_not_before=0.0)
     back_ends = coordinator._registry.of_service("svc")
     return [one.record.id for one in coordinator._due(model, back_ends)]
 
@@ -131,12 +131,12 @@
     coordinator.version_named("a", 1)
     clock.now += 10.0
     coordinator.version_named("a", 2)
-    clock.now += 0.5 * loads_module.LATE_SHARE * 10.0
+    clock.now += 0.5 * loads_module.LATE_STEP_FRACTION * 10.0
     assert len(due_ids(coordinator)) == 6
     for key in due_ids(coordinator):
         coordinator._registry.by_id(key).observed_versions["a"] = 2
     assert due_ids(coordinator) == []
-    clock.now += 0.6 * loads_module.LATE_SHARE * 10.0
+    clock.now += 0.6 * loads_module.LATE_STEP_FRACTION * 10.0
     assert len(due_ids(coordinator)) == late - 6
 
 
@@ -145,7 +145,7 @@
     coordinator.version_named("a", 3)
     back_ends = coordinator._registry.of_service("svc")
     back_ends[0].observed_versions["a"] = 2
-    assert coordinator._named["a"].loads_from > 0.0 and back_ends[0] not in coordinator._due(
+    assert coordinator._named["a"].load_not_before > 0.0 and back_ends[0] not in coordinator._due(
         "a", back_ends
     )
     assert len(coordinator._due("a", back_ends)) == 5
