--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -60,15 +60,15 @@
     ==========
 
     announced_at : monotonic seconds.
-    load_not_before : monotonic seconds before which a sampler that can serve the newest job with an
-        older version does not load this one.
+    load_after : monotonic seconds from which a sampler loads this version even if it can serve the
+        newest job with an older one.
     interval_s : moving average of the seconds between two announced versions; None after the first
         version.
     """
 
     version: int
     announced_at: float
-    load_not_before: float
+    load_after: float
     interval_s: float | None = None
 
     @classmethod
@@ -83,8 +83,8 @@
         """Return the next version, announced at ``now``."""
         elapsed_s = now - self.announced_at
         is_trainer_behind = elapsed_s < SHORTEST_STEP_S
-        load_not_before = now if is_trainer_behind else now + LOAD_DELAY_S
-        return AnnouncedVersion(version, now, load_not_before, self._smoothed_interval_s(elapsed_s))
+        load_after = now if is_trainer_behind else now + LOAD_DELAY_S
+        return AnnouncedVersion(version, now, load_after, self._smoothed_interval_s(elapsed_s))
 
     def _smoothed_interval_s(self, elapsed_s: float) -> float | None:
         if elapsed_s <= 0.0:
@@ -182,7 +182,7 @@
     oldest_usable = min(newest, needed_version) if needed_version is not None else newest
     outdated = [back_end for back_end in assigned if back_end.version_of(model) < newest]
     unusable = [back_end for back_end in outdated if back_end.version_of(model) < oldest_usable]
-    if now < announced.load_not_before:
+    if now < announced.load_after:
         return unusable
     target = _target_count(len(assigned), newest - oldest_usable)
     if announced.is_late_in_step(now):
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -1,11 +1,11 @@
-"""Brings every sampler to the newest named weight version, a few at a time.
+"""Brings every sampler to the newest announced weight version, a few samplers at a time.
 
-Owns the newest named version of each model and the loads under way. Relies on the duty (who may
-give orders), on the registry of back ends, and on the rules of `crankseam.orders.assigner` (which
-sampler carries which model) and `crankseam.orders.loads` (which of them load now).
+Holds the newest announced version of each model and the loads in progress. Depends on the duty to
+give orders, on the registry of back ends, and on the rules of `crankseam.orders.assigner` (which
+sampler hosts which model) and `crankseam.orders.loads` (which samplers load now).
 
-A process may order a sampler only under a token of the duty. It is asked for right before each
-order; a token that a sampler refused is not used again.
+A process may give an order to a sampler only with the fencing token of the duty. The coordinator
+requests the token right before each order, and does not reuse a token that a sampler has refused.
 """
 
 from __future__ import annotations
@@ -41,42 +41,46 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.1
-"""Pause between two looks for samplers that lag; origin not recorded."""
-ACQUIRE_SPREAD_S = 0.3
-"""Processes that may all try for the duty spread over this time, so that most see the first one's
-success and ask the store nothing; origin not recorded."""
-FIRST_REPORT_S = 0.8
-"""A sampler is asked whether it has loaded first after this: a load takes 0.9 s and more."""
-NEXT_REPORT_S = 0.15
-"""Pause between further questions; origin not recorded."""
-LONGEST_LOAD_S = 8.0
-"""A load is waited for so long, then the order is given again; origin not recorded."""
-RETRY_S = 0.3
-"""Pause after an order that failed, or a load that did not end; origin not recorded."""
+RECONCILE_INTERVAL_S = 0.1
+"""Pause between two passes that look for samplers with an outdated version."""
+ACQUIRE_JITTER_S = 0.3
+"""Maximum random delay before an attempt to acquire the duty. The delay spreads the attempts of all
+processes, so that most of them see the first one succeed and send no request to the store."""
+FIRST_REPORT_DELAY_S = 0.8
+"""Delay between an order and the first request for a report: a load takes at least 0.9 s."""
+REPORT_INTERVAL_S = 0.15
+"""Pause between further requests for a report."""
+LOAD_TIMEOUT_S = 8.0
+"""Time after which the coordinator stops waiting for a load and gives the order again."""
+RETRY_DELAY_S = 0.3
+"""Pause after an order that failed, or a load that did not complete."""
 
 
 @dataclass(frozen=True, slots=True)
-class _LoadUnderWay:
+class _LoadInProgress:
     load: Load
     task: asyncio.Task[None]
 
 
 class VersionCoordinator:
-    """Runs in every process; only the holder of the duty gives orders.
+    """Orders samplers to load new versions.
+
+    Runs in every process; only the holder of the duty gives orders.
 
     Parameters
     ==========
 
-    holder : the duty to give orders.
-    running_requests : what is done with a model's running requests.
-    paces : how fast samplers are, if that is known.
-    demand : what the models' open jobs need, if that is known.
+    holder : the duty to give orders to samplers.
+    process : name of this process.
+    running_requests : returns how samplers treat their running requests when they load a version of
+        the given model.
+    paces : paces of the samplers, if known.
+    demand : what the open jobs of each model need, if known.
 
     Attributes
     ==========
 
-    active : whether this process gives orders; cleared by a planned stop.
+    active : whether this process gives orders; set to False by a planned stop.
     """
 
     def __init__(
@@ -91,120 +95,129 @@
     ) -> None:
         self._registry = registry
         self._control = control
-        self._holder = holder
+        self._duty = holder
         self._process = process
         self._running_requests = running_requests
         self._demand = demand if demand is not None else UnknownDemand()
         self._paces = paces if paces is not None else SamplerPaces()
         self._assigner = Assigner(registry, self._paces, self._demand)
-        self._named: dict[str, AnnouncedVersion] = {}
-        self._loading: dict[str, _LoadUnderWay] = {}
-        """Loads under way by the sampler's id."""
+        self._newest: dict[str, AnnouncedVersion] = {}
+        """Newest announced version by model."""
+        self._in_progress: dict[str, _LoadInProgress] = {}
+        """Loads in progress by sampler id."""
         self.active = True
 
     def version_named(self, model: str, version: int) -> None:
-        """A trainer named a version; an older one changes nothing."""
-        known = self._named.get(model)
-        if version <= (known.version if known is not None else 0):
+        """Take note of a version that a trainer has announced; an older one is ignored."""
+        previous = self._newest.get(model)
+        if version <= (previous.version if previous is not None else 0):
             return
         now = time.monotonic()
-        self._named[model] = (
-            known.followed_by(version, now)
-            if known is not None
+        self._newest[model] = (
+            previous.followed_by(version, now)
+            if previous is not None
             else AnnouncedVersion.first(version, now)
         )
         log.info("version_named", extra={"model": model, "version": version})
 
     async def run(self) -> None:
-        """Look for samplers that lag until cancelled."""
+        """Bring samplers to their newest versions until cancelled."""
         try:
             while True:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(RECONCILE_INTERVAL_S)
                 if self.active:
-                    await self._look()
+                    await self._reconcile()
         finally:
-            for one in self._loading.values():
-                one.task.cancel()
-
-    async def _look(self) -> None:
-        """Start the loads that are due, or try for the duty if some are and nobody holds it."""
-        self._holder.is_vacant()
-        may_try = self._holder.may_try()
-        if not may_try and self._holder.fence() is None:
+            for entry in self._in_progress.values():
+                entry.task.cancel()
+
+    async def _reconcile(self) -> None:
+        """Start the loads that are due.
+
+        If loads are due and this process may try to acquire the duty, try that instead.
+        """
+        self._duty.is_vacant()
+        may_try = self._duty.may_try()
+        if not may_try and self._duty.fence() is None:
             return
-        carriers = self._carriers()
-        due = self._due_loads(carriers)
-        if not due:
+        assigned = self._assignment()
+        due_loads = self._due_loads(assigned)
+        if not due_loads:
             return
         if may_try:
-            await asyncio.sleep(random.uniform(0.0, ACQUIRE_SPREAD_S))
-            await self._holder.try_acquire()
+            await asyncio.sleep(random.uniform(0.0, ACQUIRE_JITTER_S))
+            await self._duty.try_acquire()
             return
-        for load in self._loads_to_start(due, carriers):
-            self._start(load)
+        for load in self._loads_to_start(due_loads, assigned):
+            self._start_load(load)
 
-    # --- what to load
+    # --- selection of loads
 
-    def _carriers(self) -> dict[str, list[BackEnd]]:
-        """The samplers that are to carry each named model."""
-        versions = {model: named.version for model, named in self._named.items()}
+    def _assignment(self) -> dict[str, list[BackEnd]]:
+        """Return the samplers assigned to each announced model."""
+        versions = {model: announced.version for model, announced in self._newest.items()}
         return self._assigner.samplers_by_model(versions, time.monotonic())
 
-    def _due_loads(self, carriers: dict[str, list[BackEnd]]) -> list[Load]:
-        """Samplers that are to load a newer version now, by priority."""
+    def _due_loads(self, assigned: dict[str, list[BackEnd]]) -> list[Load]:
+        """Return the loads that are due now, sorted by priority."""
         now = time.monotonic()
-        found = [
+        loads = [
             Load(back_end.record.service, model, back_end)
-            for model, back_ends in carriers.items()
-            for back_end in self._due(model, back_ends)
+            for model, back_ends in assigned.items()
+            for back_end in self._find_due(model, back_ends)
         ]
-        return sorted(found, key=lambda load: self._priority(load.back_end, load.model, now))
+        return sorted(loads, key=lambda load: self._priority(load.back_end, load.model, now))
 
     def _priority(self, back_end: BackEnd, model: str, now: float) -> LoadPriority:
-        version = self._named[model].version
+        version = self._newest[model].version
         return LoadPriority.of(back_end, model, version, self._paces, now)
 
-    def _due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
+    def _find_due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
         now = time.monotonic()
-        named = self._named[model]
+        announced = self._newest[model]
         needed = self._demand.needed_version(model)
-        late_count = 0
-        if back_ends and named.is_late_in_step(now):
+        late_target = 0
+        if back_ends and announced.is_late_in_step(now):
             service = back_ends[0].record.service
-            late_count = free_load_count(self._registry.staying_of(service))
+            late_target = free_load_count(self._registry.staying_of(service))
         return due_samplers(
             back_ends,
             model,
-            named,
+            announced,
             needed,
-            late_count,
+            late_target,
             lambda back_end: self._priority(back_end, model, now),
             now,
         )
 
-    def _loads_to_start(self, due: list[Load], carriers: dict[str, list[BackEnd]]) -> list[Load]:
+    def _loads_to_start(
+        self, due_loads: list[Load], assigned: dict[str, list[BackEnd]]
+    ) -> list[Load]:
         samplers = {
             service: len(self._registry.staying_of(service))
-            for service in {load.service for load in due}
+            for service in {load.service for load in due_loads}
         }
-        carrier_counts = {model: len(back_ends) for model, back_ends in carriers.items()}
-        under_way = [one.load for one in self._loading.values()]
-        return loads_to_start(due, under_way, samplers, carrier_counts)
+        assigned_counts = {model: len(back_ends) for model, back_ends in assigned.items()}
+        in_progress = [entry.load for entry in self._in_progress.values()]
+        return loads_to_start(due_loads, in_progress, samplers, assigned_counts)
 
-    # --- one load
+    # --- execution of a load
 
-    def _start(self, load: Load) -> None:
+    def _start_load(self, load: Load) -> None:
         key = load.back_end.record.id
-        task = asyncio.create_task(self._bring(load.back_end, load.model))
-        self._loading[key] = _LoadUnderWay(load, task)
-        task.add_done_callback(lambda _: self._loading.pop(key, None))
+        task = asyncio.create_task(self._load_version(load.back_end, load.model))
+        self._in_progress[key] = _LoadInProgress(load, task)
+        task.add_done_callback(lambda _: self._in_progress.pop(key, None))
 
-    async def _bring(self, back_end: BackEnd, model: str) -> None:
-        """Bring one sampler to the model's named version; a failure is tried again later."""
-        version = self._named[model].version
+    async def _load_version(self, back_end: BackEnd, model: str) -> None:
+        """Bring one sampler to the announced version of the model.
+
+        A failure is only logged; a later pass tries again.
+        """
+        version = self._newest[model].version
         try:
-            if await self._order(back_end, model, version):
-                await self._wait_loaded(back_end, model, version)
+            if await self._ensure_ordered(back_end, model, version):
+                await self._wait_until_loaded(back_end, model, version)
                 return
         except (OrderRefused, OrderUnanswered, OrderFenced) as error:
             log.warning(
@@ -216,19 +229,19 @@
                     "error": type(error).__name__,
                 },
             )
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _order(self, back_end: BackEnd, model: str, version: int) -> bool:
-        """Give the order if the sampler needs it; whether a load is under way there."""
+    async def _ensure_ordered(self, back_end: BackEnd, model: str, version: int) -> bool:
+        """Give the order if the sampler needs it; return whether a load is in progress there."""
         report = await self._control.report(back_end)
-        carried = report.versions.get(model, 0)
-        if carried >= version:
-            back_end.observed_versions[model] = carried
+        reported_version = report.versions.get(model, 0)
+        if reported_version >= version:
+            back_end.observed_versions[model] = reported_version
             return False
         if report.busy:
             return True
-        # Right before the order: the duty may have been lost while the sampler answered.
-        fence = self._holder.fence()
+        # Request the token only now: the duty may have been lost while the sampler answered.
+        fence = self._duty.fence()
         if fence is None or not self._registry.is_known(back_end):
             return False
         order = VersionOrder(
@@ -247,24 +260,31 @@
         try:
             await self._control.order_version(back_end, order)
         except OrderFenced:
-            self._holder.refuse(fence)
+            self._duty.refuse(fence)
             raise
         return True
 
-    async def _wait_loaded(self, back_end: BackEnd, model: str, version: int) -> None:
-        """Return once the sampler reports the version, or has stopped loading without it."""
-        deadline = time.monotonic() + LONGEST_LOAD_S
-        await asyncio.sleep(FIRST_REPORT_S)
+    async def _wait_until_loaded(self, back_end: BackEnd, model: str, version: int) -> None:
+        """Wait until the sampler reports the version or has stopped loading without it.
+
+        Also returns when the load times out or the sampler is gone.
+        """
+        deadline = time.monotonic() + LOAD_TIMEOUT_S
+        await asyncio.sleep(FIRST_REPORT_DELAY_S)
         while time.monotonic() < deadline and self._registry.is_known(back_end):
             report = await self._control.report(back_end)
-            carried = report.versions.get(model, 0)
-            if carried >= version:
-                back_end.observed_versions[model] = carried
+            reported_version = report.versions.get(model, 0)
+            if reported_version >= version:
+                back_end.observed_versions[model] = reported_version
                 log.info(
                     "version_loaded",
-                    extra={"back_end": back_end.record.id, "model": model, "version": carried},
+                    extra={
+                        "back_end": back_end.record.id,
+                        "model": model,
+                        "version": reported_version,
+                    },
                 )
                 return
             if not report.busy:
                 return
-            await asyncio.sleep(NEXT_REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
--- a/tests/orders/test_loads.py
+++ b/tests/orders/test_loads.py
@@ -37,9 +37,7 @@
     second = first.followed_by(2, 110.0)
     assert second == AnnouncedVersion(2, 110.0, 110.0 + LOAD_DELAY_S, 10.0)
     early = second.followed_by(3, 110.0 + SHORTEST_STEP_S - 0.1)
-    assert early.load_not_before == early.announced_at, (
-        "the trainer is behind and waits for the load"
-    )
+    assert early.load_after == early.announced_at, "the trainer is behind and waits for the load"
     assert early.interval_s == pytest.approx((10.0 + SHORTEST_STEP_S - 0.1) / 2.0)
 
 
