--- a/src/crankseam/scaling/__init__.py
+++ b/src/crankseam/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""Samplers on demand: how many, in which zone, and of which kind."""
+"""Autoscaling of samplers: how many to order, of which kind and in which zone."""
