--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -1,6 +1,7 @@
-"""What may be ordered of a service, what is there, and what is wanted.
+"""Data types of sampler scaling: the operator's limits, the present samplers, and orders.
 
-Free of any wire: an adapter implements `SamplerMarket` by the calls of its platform.
+Independent of any wire format: an adapter implements `SamplerMarket` with the calls of its
+platform.
 """
 
 from __future__ import annotations
@@ -12,33 +13,38 @@
 from crankseam.errors import CrankseamError
 
 DEFAULT_BOOT_S = 5.0
-"""Seconds that a sampler takes to boot, where the operator does not say it; origin not recorded."""
+"""Seconds that a sampler is assumed to take to boot if the operator does not configure a value."""
 
 
 class OrderConflict(CrankseamError):
-    """None can be had there now, or a newer holder has acted: the answer does not say which."""
+    """The zone has no samplers to give, or a newer holder of the duty has acted.
+
+    The answer of the platform does not tell these two cases apart.
+    """
 
 
 class Kind(enum.Enum):
-    """How a sampler was ordered."""
+    """The terms on which a sampler is ordered."""
 
     STANDING = "standing"
-    """It stays until it is ordered away."""
+    """It stays until a lower count is ordered."""
     SPOT = "spot"
-    """Cheaper, and may be taken away at short notice, with all of its zone."""
+    """It is cheaper, but the platform may reclaim it at short notice, together with all other spot
+    samplers of its zone."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingBounds:
-    """What the operator allows for a service.
+    """Limits and prices that the operator sets for the samplers of a service.
 
     Attributes
     ==========
 
-    smallest, largest : samplers of a zone, of both kinds together.
-    boot_s : seconds from an order until a sampler serves.
-    spot_price : price of a spot sampler as a share of a standing one's; None: there are none.
-    zone_prices : price of a standing sampler for a second, by zone.
+    smallest, largest : minimum and maximum number of samplers in a zone, of both kinds together.
+    boot_s : seconds from an order until the sampler serves requests.
+    spot_price : price of a spot sampler as a fraction of the price of a standing one; None if the
+        service has no spot samplers.
+    zone_prices : price of a standing sampler per second, by zone.
     """
 
     smallest: int
@@ -50,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSupply:
-    """Samplers of a service in one zone that serve and are not leaving, by kind."""
+    """Number of samplers of a service that serve in one zone and are not leaving, by kind."""
 
     standing: int = 0
     spot: int = 0
@@ -58,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """How many samplers of one kind a zone is to hold, and why."""
+    """Order that sets the number of samplers of one kind in a zone, with the reason for it."""
 
     service: str
     zone: str
@@ -68,15 +74,15 @@
 
 
 class SamplerMarket(Protocol):
-    """Takes orders for samplers."""
+    """Interface of the platform that provides samplers."""
 
     async def order_samplers(self, order: Order, holder: str, fence: int) -> None:
-        """Set how many samplers of a kind a zone holds.
+        """Set the number of samplers of one kind in a zone.
 
         Raises
         ======
 
-        OrderConflict : none can be had there now, or a newer holder has acted.
-        DutyRefused : nothing was done.
-        DutyUnanswered : it may have been done, or may be seconds later.
+        OrderConflict : the zone has no samplers to give, or a newer holder has acted.
+        DutyRefused : the platform did not carry out the order.
+        DutyUnanswered : the order may have been carried out, or may be seconds later.
         """
