--- a/src/crankseam/scaling/demand.py
+++ b/src/crankseam/scaling/demand.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from crankseam.scaling.plan import samplers_for
+from crankseam.scaling.plan import samplers_for_items
 
 LOWERED_AFTER_S = 60.0
 """A count goes down only after it was lower for so long: several steps of a trainer, and many times
@@ -58,4 +58,4 @@
 def need_of(open_items: Iterable[int | None], slots: int) -> int | None:
     """Samplers for the open items of some models; None if nothing is known of any."""
     known = [items for items in open_items if items is not None]
-    return samplers_for(sum(known), slots) if known else None
+    return samplers_for_items(sum(known), slots) if known else None
--- a/tests/scaling/test_plan.py
+++ b/tests/scaling/test_plan.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 
 from crankseam.scaling.model import Kind, ScalingBounds, ZoneSupply
-from crankseam.scaling.plan import plan, samplers_for, spread
+from crankseam.scaling.plan import plan, samplers_for_items, spread
 
 ZONES = ["a", "b", "c"]
 PRICES = {"a": 1.0, "b": 0.8, "c": 1.25}
@@ -25,10 +25,10 @@
     st.integers(0, 3),
     st.integers(3, 15),
 )
-def test_no_order_goes_beyond_the_bounds(supply, wanted, dry, spot_price, smallest, largest):
+def test_no_order_goes_beyond_the_bounds(supply, desired, exhausted, spot_price, smallest, largest):
     allowed = bounds(smallest, largest, spot_price)
-    for order in plan("s", allowed, supply, wanted, dry):
-        if order.zone in dry:
+    for order in plan("s", allowed, supply, desired, exhausted):
+        if order.zone in exhausted:
             continue
         assert order.count >= 0
         if order.kind is Kind.SPOT:
@@ -40,16 +40,18 @@
 
 
 @given(SUPPLY, st.integers(0, 45))
-def test_the_same_need_gives_the_same_orders_while_samplers_boot(supply, wanted):
-    booting = {zone: ZoneSupply(one.standing, 0) for zone, one in supply.items()}
-    assert plan("s", bounds(), supply, wanted, set()) == plan("s", bounds(), booting, wanted, set())
+def test_the_same_need_gives_the_same_orders_while_samplers_boot(supply, desired):
+    booting = {zone: ZoneSupply(zone_supply.standing, 0) for zone, zone_supply in supply.items()}
+    assert plan("s", bounds(), supply, desired, set()) == plan(
+        "s", bounds(), booting, desired, set()
+    )
 
 
 def test_what_standing_samplers_lack_is_ordered_as_spot_and_spread():
     supply = {zone: ZoneSupply(8) for zone in ZONES}
     orders = plan("s", bounds(), supply, 43, set())
     assert {order.kind for order in orders} == {Kind.SPOT}
-    assert [order.count for order in orders] == [6, 7, 6], "the cheapest zone has the odd one"
+    assert [order.count for order in orders] == [6, 7, 6], "the cheapest zone gets the odd sampler"
 
 
 def test_as_many_as_may_be_where_more_are_wanted():
@@ -59,7 +61,7 @@
     assert [(order.kind, order.count) for order in standing] == [(Kind.STANDING, 15)] * 3
 
 
-def test_what_a_dry_zone_lacks_is_ordered_elsewhere():
+def test_what_an_exhausted_zone_lacks_is_ordered_elsewhere():
     supply = {zone: ZoneSupply(8) for zone in ZONES}
     orders = {order.zone: order.count for order in plan("s", bounds(), supply, 36, {"a"})}
     assert orders == {"a": 0, "b": 6, "c": 6}
@@ -74,17 +76,22 @@
 
 
 @given(st.integers(0, 60), st.fixed_dictionaries({zone: st.integers(0, 15) for zone in ZONES}))
-def test_the_loss_of_one_zone_takes_no_more_than_it_must(count, room):
-    dealt = spread(count, room, PRICES)
-    assert sum(dealt.values()) == min(count, sum(room.values()))
-    assert all(dealt[zone] <= room[zone] for zone in room)
-    free = [zone for zone in room if dealt[zone] < room[zone]]
+def test_the_loss_of_one_zone_takes_no_more_than_it_must(count, limits):
+    counts = spread(count, limits, PRICES)
+    assert sum(counts.values()) == min(count, sum(limits.values()))
+    assert all(counts[zone] <= limits[zone] for zone in limits)
+    free = [zone for zone in limits if counts[zone] < limits[zone]]
     if free:
-        assert max(dealt.values()) <= min(dealt[zone] for zone in free) + 1
+        assert max(counts.values()) <= min(counts[zone] for zone in free) + 1
 
 
 def test_each_open_item_gets_a_place():
-    assert (samplers_for(0, 8), samplers_for(1, 8), samplers_for(8, 8), samplers_for(9, 8)) == (
+    assert (
+        samplers_for_items(0, 8),
+        samplers_for_items(1, 8),
+        samplers_for_items(8, 8),
+        samplers_for_items(9, 8),
+    ) == (
         0,
         1,
         1,
