--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -19,7 +19,7 @@
 from crankseam.coordination.duty import Duty, DutyRefused, DutyUnanswered
 from crankseam.coordination.interface import CoordinationStore
 from crankseam.errors import KeyValueError
-from crankseam.scaling.demand import SteadyCount, need_of
+from crankseam.scaling.demand import StabilizedCount, required_samplers
 from crankseam.scaling.model import (
     Kind,
     Order,
@@ -30,7 +30,7 @@
 )
 from crankseam.scaling.ordering import DryZones, OrderedCount
 from crankseam.scaling.plan import plan
-from crankseam.scaling.supply import SteadySupply, count_supply
+from crankseam.scaling.supply import StabilizedSupply, count_supply
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.routes import Configuration
 
@@ -80,9 +80,9 @@
         self._fence: int | None = None
         """The token under which the counts below were ordered."""
         self._ordered: dict[_Subject, OrderedCount] = defaultdict(OrderedCount)
-        self._needs: dict[str, SteadyCount] = {}
+        self._needs: dict[str, StabilizedCount] = {}
         """Samplers that the work needs, by service."""
-        self._supply = SteadySupply()
+        self._supply = StabilizedSupply()
         self._dry = DryZones()
 
     async def run(self) -> None:
@@ -127,20 +127,20 @@
     ) -> dict[str, ZoneSupply]:
         seen = count_supply(back_ends, bounds.zone_prices)
         now = time.monotonic()
-        return {zone: self._supply.follow(service, zone, one, now) for zone, one in seen.items()}
+        return {zone: self._supply.update(service, zone, one, now) for zone, one in seen.items()}
 
     def _steady_need(self, service: str, back_ends: list[BackEnd], largest: int) -> int:
         """Samplers that the work needs; the largest count before the work is known.
 
         One too many for a while costs less than a late first step.
         """
-        held = self._needs.setdefault(service, SteadyCount(largest))
-        return held.follow(self._need(back_ends))
+        held = self._needs.setdefault(service, StabilizedCount(largest))
+        return held.update(self._need(back_ends))
 
     def _need(self, back_ends: Iterable[BackEnd]) -> int | None:
         models = {model for one in back_ends for model in one.record.versions}
         slots = max((one.record.slots for one in back_ends), default=1)
-        return need_of([self._items_of(model) for model in models], slots)
+        return required_samplers([self._items_of(model) for model in models], slots)
 
     def _is_due(self, order: Order, supply: ZoneSupply, bounds: ScalingBounds, now: float) -> bool:
         there = supply.spot if order.kind is Kind.SPOT else supply.standing
--- a/src/crankseam/scaling/supply.py
+++ b/src/crankseam/scaling/supply.py
@@ -13,11 +13,11 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from crankseam.scaling.demand import SteadyCount
+from crankseam.scaling.demand import StabilizedCount
 from crankseam.scaling.model import Kind, ZoneSupply
 from crankseam.serving.back_ends import BackEnd
 
-SETTLED_S = 1.5
+SETTLE_TIME_S = 1.5
 """Nothing is ordered so long after more standing samplers came in: at the start of a deployment,
 and of this process, they are not all known yet. Origin of the figure not recorded."""
 
@@ -36,23 +36,23 @@
     }
 
 
-class SteadySupply:
+class StabilizedSupply:
     """Follows what the zones of all services hold."""
 
     def __init__(self) -> None:
-        self._standing: dict[tuple[str, str], SteadyCount] = defaultdict(SteadyCount)
+        self._standing: dict[tuple[str, str], StabilizedCount] = defaultdict(StabilizedCount)
         """Standing samplers by service and zone."""
         self._grew_at = float("-inf")
 
-    def follow(self, service: str, zone: str, seen: ZoneSupply, now: float) -> ZoneSupply:
+    def update(self, service: str, zone: str, seen: ZoneSupply, now: float) -> ZoneSupply:
         """What is seen of a zone at ``now``, with the standing samplers that were there lately."""
         held = self._standing[service, zone]
-        before = held.follow(None)
-        standing = held.follow(seen.standing)
+        before = held.update(None)
+        standing = held.update(seen.standing)
         if standing > before:
             self._grew_at = now
         return ZoneSupply(standing, seen.spot)
 
     def is_settled(self, now: float) -> bool:
         """Whether no more standing samplers came in for a while."""
-        return now - self._grew_at >= SETTLED_S
+        return now - self._grew_at >= SETTLE_TIME_S
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -104,8 +104,8 @@
 async def two(monkeypatch):
     monkeypatch.setattr(actor_module, "LOOK_S", 0.05)
     monkeypatch.setattr(ordering_module, "DRY_S", 0.3)
-    monkeypatch.setattr(supply_module, "SETTLED_S", 0.1)
-    monkeypatch.setattr(demand_module, "LOWERED_AFTER_S", 0.3)
+    monkeypatch.setattr(supply_module, "SETTLE_TIME_S", 0.1)
+    monkeypatch.setattr(demand_module, "STABILIZATION_WINDOW_S", 0.3)
     monkeypatch.setattr(ordering_module, "ARRIVAL_SLACK_S", 0.5)
     store, market = MemoryStore(), Market([])
     async with AsyncExitStack() as stack:
@@ -183,7 +183,7 @@
     for process in processes:
         process.items = 64
     await eventually(lambda: market.desired == {"a": 3, "b": 3})
-    monkeypatch.setattr(demand_module, "LOWERED_AFTER_S", 60.0)
+    monkeypatch.setattr(demand_module, "STABILIZATION_WINDOW_S", 60.0)
     calls = len(market.calls)
     for process in processes:
         process.registry.remove("standing-a")
--- a/tests/scaling/test_supply.py
+++ b/tests/scaling/test_supply.py
@@ -1,5 +1,5 @@
 from crankseam.scaling.model import ZoneSupply
-from crankseam.scaling.supply import SETTLED_S, SteadySupply, count_supply
+from crankseam.scaling.supply import SETTLE_TIME_S, StabilizedSupply, count_supply
 from crankseam.serving.back_ends import BackEnd, BackEndRecord
 
 
@@ -21,20 +21,20 @@
 
 
 def test_a_standing_sampler_that_is_gone_counts_on_and_a_spot_sampler_does_not():
-    supply = SteadySupply()
-    assert supply.follow("llm", "a", ZoneSupply(2, 2), 0.0) == ZoneSupply(2, 2)
-    assert supply.follow("llm", "a", ZoneSupply(1, 1), 1.0) == ZoneSupply(2, 1)
+    supply = StabilizedSupply()
+    assert supply.update("llm", "a", ZoneSupply(2, 2), 0.0) == ZoneSupply(2, 2)
+    assert supply.update("llm", "a", ZoneSupply(1, 1), 1.0) == ZoneSupply(2, 1)
 
 
 def test_nothing_is_concluded_shortly_after_standing_samplers_came_in():
-    supply = SteadySupply()
+    supply = StabilizedSupply()
     assert supply.is_settled(0.0)
-    supply.follow("llm", "a", ZoneSupply(1, 0), 10.0)
-    assert not supply.is_settled(10.0 + SETTLED_S - 0.01)
-    assert supply.is_settled(10.0 + SETTLED_S)
-    supply.follow("llm", "a", ZoneSupply(1, 5), 20.0)
-    supply.follow("llm", "a", ZoneSupply(0, 5), 20.0)
-    supply.follow("llm", "a", ZoneSupply(1, 5), 20.0)
+    supply.update("llm", "a", ZoneSupply(1, 0), 10.0)
+    assert not supply.is_settled(10.0 + SETTLE_TIME_S - 0.01)
+    assert supply.is_settled(10.0 + SETTLE_TIME_S)
+    supply.update("llm", "a", ZoneSupply(1, 5), 20.0)
+    supply.update("llm", "a", ZoneSupply(0, 5), 20.0)
+    supply.update("llm", "a", ZoneSupply(1, 5), 20.0)
     assert supply.is_settled(20.0), "spot samplers, and one that came back, say nothing"
-    supply.follow("llm", "b", ZoneSupply(1, 0), 30.0)
+    supply.update("llm", "b", ZoneSupply(1, 0), 30.0)
     assert not supply.is_settled(30.0)
