--- a/src/crankseam/scaling/supply.py
+++ b/src/crankseam/scaling/supply.py
@@ -1,11 +1,13 @@
-"""What does each zone of a service hold, when samplers come and go for moments?
-
-Inputs: the back ends of a service, as discovery shows them now.
-Rule: those that are leaving do not count. A standing sampler counts on for a while after it is
-gone; nothing is concluded shortly after more standing ones came in.
-Protects: a standing sampler that crashes and returns must not cost a spot sampler, nor a start at
-which not all are known yet.
-Shown by: `samplers_ordered`. Held by: tests/scaling/test_supply.py, tests/scaling/test_actor.py.
+"""Counts the samplers in each zone of a service, ignoring short absences of standing ones.
+
+Inputs: the back ends of a service, as discovery reports them now.
+Rule: samplers that are leaving do not count. A standing sampler continues to count for a while
+after it has disappeared. For a short time after the number of standing samplers has grown, the
+counts are not settled and nothing is ordered.
+Purpose: a standing sampler that crashes and returns must not lead to an order for spot samplers,
+nor must a start during which not all samplers are known yet.
+Logged as: `samplers_ordered`.
+Tested by: tests/scaling/test_supply.py, tests/scaling/test_actor.py.
 """
 
 from __future__ import annotations
@@ -18,12 +20,15 @@
 from crankseam.serving.back_ends import BackEnd
 
 SETTLE_TIME_S = 1.5
-"""Nothing is ordered so long after more standing samplers came in: at the start of a deployment,
-and of this process, they are not all known yet. Origin of the figure not recorded."""
+"""Time without new standing samplers before anything is ordered: when a deployment or this process
+starts, not all samplers are known yet."""
 
 
 def count_supply(back_ends: Iterable[BackEnd], zones: Iterable[str]) -> dict[str, ZoneSupply]:
-    """Samplers that are not leaving, by zone; the given zones first, with or without samplers."""
+    """Count the samplers that are not leaving, by zone.
+
+    The given zones come first in the result, even if they have no samplers.
+    """
     counts: dict[str, Counter[Kind]] = {zone: Counter() for zone in zones}
     for back_end in back_ends:
         record = back_end.record
@@ -31,28 +36,31 @@
             kind = Kind.SPOT if record.is_spot else Kind.STANDING
             counts.setdefault(record.zone, Counter())[kind] += 1
     return {
-        zone: ZoneSupply(of_zone[Kind.STANDING], of_zone[Kind.SPOT])
-        for zone, of_zone in counts.items()
+        zone: ZoneSupply(by_kind[Kind.STANDING], by_kind[Kind.SPOT])
+        for zone, by_kind in counts.items()
     }
 
 
 class StabilizedSupply:
-    """Follows what the zones of all services hold."""
+    """Samplers in the zones of all services, with stabilized counts of the standing ones."""
 
     def __init__(self) -> None:
         self._standing: dict[tuple[str, str], StabilizedCount] = defaultdict(StabilizedCount)
-        """Standing samplers by service and zone."""
-        self._grew_at = float("-inf")
+        """Counts of standing samplers by service and zone."""
+        self._last_growth_at = float("-inf")
+
+    def update(self, service: str, zone: str, observed: ZoneSupply, now: float) -> ZoneSupply:
+        """Take the samplers observed in a zone at ``now``, and return the stabilized counts.
 
-    def update(self, service: str, zone: str, seen: ZoneSupply, now: float) -> ZoneSupply:
-        """What is seen of a zone at ``now``, with the standing samplers that were there lately."""
+        The result includes standing samplers that have disappeared only recently.
+        """
         held = self._standing[service, zone]
-        before = held.update(None)
-        standing = held.update(seen.standing)
-        if standing > before:
-            self._grew_at = now
-        return ZoneSupply(standing, seen.spot)
+        previous = held.update(None)
+        standing = held.update(observed.standing)
+        if standing > previous:
+            self._last_growth_at = now
+        return ZoneSupply(standing, observed.spot)
 
     def is_settled(self, now: float) -> bool:
-        """Whether no more standing samplers came in for a while."""
-        return now - self._grew_at >= SETTLE_TIME_S
+        """Return whether no count of standing samplers has grown for `SETTLE_TIME_S`."""
+        return now - self._last_growth_at >= SETTLE_TIME_S
--- a/tests/scaling/test_supply.py
+++ b/tests/scaling/test_supply.py
@@ -8,14 +8,14 @@
 
 
 def test_samplers_are_counted_by_zone_and_kind_without_those_that_leave():
-    there = [
+    back_ends = [
         sampler("a"),
         sampler("a", is_spot=True),
         sampler("a", is_spot=True),
         sampler("a", leaving=True),
         sampler("c"),
     ]
-    supply = count_supply(there, ["b", "a"])
+    supply = count_supply(back_ends, ["b", "a"])
     assert supply == {"b": ZoneSupply(), "a": ZoneSupply(1, 2), "c": ZoneSupply(1, 0)}
     assert list(supply) == ["b", "a", "c"]
 
@@ -35,6 +35,8 @@
     supply.update("llm", "a", ZoneSupply(1, 5), 20.0)
     supply.update("llm", "a", ZoneSupply(0, 5), 20.0)
     supply.update("llm", "a", ZoneSupply(1, 5), 20.0)
-    assert supply.is_settled(20.0), "spot samplers, and one that came back, say nothing"
+    assert supply.is_settled(20.0), (
+        "neither spot samplers nor a sampler that returns delay the orders"
+    )
     supply.update("llm", "b", ZoneSupply(1, 0), 30.0)
     assert not supply.is_settled(30.0)
