--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -28,7 +28,7 @@
     ScalingBounds,
     ZoneSupply,
 )
-from crankseam.scaling.ordering import DryZones, OrderedCount
+from crankseam.scaling.ordering import ExhaustedZones, OrderedCount
 from crankseam.scaling.plan import plan
 from crankseam.scaling.supply import StabilizedSupply, count_supply
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
@@ -83,7 +83,7 @@
         self._needs: dict[str, StabilizedCount] = {}
         """Samplers that the work needs, by service."""
         self._supply = StabilizedSupply()
-        self._dry = DryZones()
+        self._dry = ExhaustedZones()
 
     async def run(self) -> None:
         """Order what is missing until cancelled."""
@@ -117,7 +117,7 @@
         if not back_ends or not self._supply.is_settled(now):
             return
         need = self._steady_need(service, back_ends, bounds.largest * len(supply))
-        dry = {zone for zone in supply if self._dry.is_dry(service, zone, now)}
+        dry = {zone for zone in supply if self._dry.is_exhausted(service, zone, now)}
         for order in plan(service, bounds, supply, need, dry):
             if order.zone not in dry and self._is_due(order, supply[order.zone], bounds, now):
                 await self._order(order, fence)
@@ -188,5 +188,5 @@
         if entry is None or entry.revision != fence:
             self._duty.refuse(fence)
             return "fenced"
-        self._dry.mark(order.service, order.zone, time.monotonic())
+        self._dry.mark_exhausted(order.service, order.zone, time.monotonic())
         return "none to be had"
--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -17,7 +17,7 @@
 
 
 class OrderConflict(CrankseamError):
-    """The zone has no samplers to give, or a newer holder of the duty has acted.
+    """The zone has no samplers available, or a newer holder of the duty has acted.
 
     The answer of the platform does not tell these two cases apart.
     """
@@ -82,7 +82,7 @@
         Raises
         ======
 
-        OrderConflict : the zone has no samplers to give, or a newer holder has acted.
+        OrderConflict : the zone has no samplers available, or a newer holder has acted.
         DutyRefused : the platform did not carry out the order.
         DutyUnanswered : the order may have been carried out, or may be seconds later.
         """
--- a/src/crankseam/scaling/ordering.py
+++ b/src/crankseam/scaling/ordering.py
@@ -1,12 +1,14 @@
-"""When is a count of samplers ordered of a zone, and when again?
-
-Inputs: the count that is wanted, the one that was ordered last, the samplers that are there, and
-the seconds that a sampler takes to boot; times are monotonic seconds.
-Rule: a count is ordered once it differs from the last one that was taken. The same one is ordered
-again if the samplers are not there well after they should have booted. After a failure the next
-order waits, and a zone that has none to give is left out for a while.
-Protects: the few calls a second that the platform takes, and a need whose order was lost.
-Shown by: `samplers_ordered`. Held by: tests/scaling/test_ordering.py, tests/scaling/test_actor.py.
+"""Decides when a number of samplers is ordered in a zone, and when it is ordered again.
+
+Inputs: the number of samplers that the zone should have, the number ordered last, the samplers that
+are present, and the seconds that a sampler takes to boot; all times are monotonic seconds.
+Rule: a number is ordered when it differs from the last one that the platform accepted. The same
+number is ordered again if the samplers are still missing well after they should have booted. After
+a failure, the next order waits. A zone that has no samplers available is skipped for a while.
+Purpose: the platform accepts only a few calls per second, so orders must not be repeated without
+need; but an order that was lost must be repeated.
+Logged as: `samplers_ordered`.
+Tested by: tests/scaling/test_ordering.py, tests/scaling/test_actor.py.
 """
 
 from __future__ import annotations
@@ -14,57 +16,65 @@
 from crankseam.backoff import Backoff
 
 RETRY_BASE_S = 0.5
-"""Least pause after an order that failed, to which a random one is added that grows from as much;
-origin not recorded."""
+"""Minimum pause after a failed order, and base of the random backoff that is added to it."""
 RETRY_CAP_S = 4.0
-"""The most to which the random part grows; origin not recorded."""
-ARRIVAL_SLACK_S = 4.0
-"""Samplers that are not there so long after they should have booted are ordered again: the order
-may have been overtaken by an older one, or a zone gave fewer. Origin of the figure not recorded."""
-DRY_S = 4.0
-"""What a zone can't give is ordered elsewhere for so long, and then asked for there again. Origin
-of the figure not recorded."""
+"""Upper limit of the random backoff."""
+ARRIVAL_GRACE_S = 4.0
+"""Samplers that are missing for this long after they should have booted are ordered again: an older
+order may have arrived after the last one, or the zone may have provided fewer samplers."""
+EXHAUSTED_ZONE_PAUSE_S = 4.0
+"""Time for which samplers that a zone could not provide are ordered in other zones before the zone is
+tried again."""
 
 
 class OrderedCount:
-    """What was ordered of one kind of sampler in one zone, and when it may be ordered again."""
+    """Last ordered number of samplers of one kind in one zone, and when to order again."""
 
     def __init__(self) -> None:
         self._count: int | None = None
-        """What the last order that was taken said; None if that is not known."""
+        """Number in the last order that the platform accepted; None if unknown."""
         self._taken_at = float("-inf")
         self._wait_until = float("-inf")
         self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
 
-    def is_due(self, count: int, there: int, boot_s: float, now: float) -> bool:
-        """Whether a count is to be ordered now, where so many samplers are there."""
+    def is_due(self, count: int, present: int, boot_s: float, now: float) -> bool:
+        """Return whether to order a number of samplers now.
+
+        Parameters
+        ==========
+
+        count : number of samplers that the zone should have.
+        present : number of samplers that the zone has.
+        boot_s : seconds that a sampler takes to boot.
+        now : monotonic seconds.
+        """
         if now < self._wait_until:
             return False
         if self._count != count:
             return True
-        return there < count and now - self._taken_at > boot_s + ARRIVAL_SLACK_S
+        return present < count and now - self._taken_at > boot_s + ARRIVAL_GRACE_S
 
     def taken(self, count: int, now: float) -> None:
-        """An order of this count was taken."""
+        """Record that the platform accepted an order of this number."""
         self._count = count
         self._taken_at = now
         self._backoff.reset()
 
     def failed(self, now: float) -> None:
-        """An order was not taken, or nobody knows."""
+        """Record that an order was not accepted, or that its outcome is unknown."""
         self._wait_until = now + RETRY_BASE_S + self._backoff.next_delay()
 
 
-class DryZones:
-    """Zones of services that have no samplers to give, for a while."""
+class ExhaustedZones:
+    """Zones that recently had no samplers available, by service."""
 
     def __init__(self) -> None:
-        self._dry_until: dict[tuple[str, str], float] = {}
+        self._exhausted_until: dict[tuple[str, str], float] = {}
 
-    def mark(self, service: str, zone: str, now: float) -> None:
-        """A zone gave none."""
-        self._dry_until[service, zone] = now + DRY_S
+    def mark_exhausted(self, service: str, zone: str, now: float) -> None:
+        """Record that a zone had no samplers available."""
+        self._exhausted_until[service, zone] = now + EXHAUSTED_ZONE_PAUSE_S
 
-    def is_dry(self, service: str, zone: str, now: float) -> bool:
-        """Whether a zone gave none lately."""
-        return self._dry_until.get((service, zone), 0.0) > now
+    def is_exhausted(self, service: str, zone: str, now: float) -> bool:
+        """Return whether a zone recently had no samplers available."""
+        return self._exhausted_until.get((service, zone), 0.0) > now
--- a/src/crankseam/scaling/plan.py
+++ b/src/crankseam/scaling/plan.py
@@ -1,7 +1,7 @@
 """Decides how many samplers of which kind each zone of a service should have.
 
 Inputs: the limits that the operator sets, the present samplers of each zone, the number of samplers
-that the service needs in total, and the zones that have no samplers to give at present.
+that the service needs in total, and the zones that have no samplers available at present.
 Rule: if the service has spot samplers, the number of standing ones stays as it is and the rest is
 ordered as spot. Otherwise standing samplers are ordered beyond the minimum of each zone. Samplers
 are distributed over the zones one by one: each goes to the zone with the fewest, and among these to
@@ -81,7 +81,7 @@
 
     supply : present samplers by zone.
     desired : number of samplers of the service in total.
-    exhausted : zones that have no samplers to give at present; what they lack is ordered in other
+    exhausted : zones that have no samplers available at present; what they lack is ordered in other
         zones.
     """
     if bounds.spot_price is None:
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -103,10 +103,10 @@
 @pytest.fixture
 async def two(monkeypatch):
     monkeypatch.setattr(actor_module, "LOOK_S", 0.05)
-    monkeypatch.setattr(ordering_module, "DRY_S", 0.3)
+    monkeypatch.setattr(ordering_module, "EXHAUSTED_ZONE_PAUSE_S", 0.3)
     monkeypatch.setattr(supply_module, "SETTLE_TIME_S", 0.1)
     monkeypatch.setattr(demand_module, "STABILIZATION_WINDOW_S", 0.3)
-    monkeypatch.setattr(ordering_module, "ARRIVAL_SLACK_S", 0.5)
+    monkeypatch.setattr(ordering_module, "ARRIVAL_GRACE_S", 0.5)
     store, market = MemoryStore(), Market([])
     async with AsyncExitStack() as stack:
         processes = [await stack.enter_async_context(Process(store, name, market)) for name in "pq"]
