--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -1,10 +1,11 @@
-"""Orders samplers: what the holder of the scaling duty does.
-
-Owns what it ordered under its token, which it forgets with the token: what an earlier holder
-ordered is not known. Relies on the duty, on discovery's samplers, on the newest configuration (what
-the operator allows) and on the open items of each model. The rules are in `crankseam.scaling`:
-`demand` (how many are needed), `plan` (of which kind and where), `supply` (what is there) and
-`ordering` (when an order is given).
+"""Orders samplers while this process holds the scaling duty.
+
+Holds the numbers that were ordered under the current fencing token and drops them when the token
+changes, because the orders of an earlier holder are unknown. Depends on the duty, on the samplers
+that discovery reports, on the newest configuration (the limits that the operator sets) and on the
+open items of each model. The rules are in `crankseam.scaling`: `demand` (how many samplers are
+needed), `plan` (of which kind and in which zone), `supply` (how many are present) and `ordering`
+(when to order).
 """
 
 from __future__ import annotations
@@ -36,14 +37,14 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.5
-"""Pause between two looks at what is there and what is needed; origin not recorded."""
-CALL_PAUSE_S = 0.1
-"""Pause after each order: ten a second are a fifth of what the users' platform takes."""
+RECONCILE_INTERVAL_S = 0.5
+"""Pause between two comparisons of the present samplers with the needed ones."""
+ORDER_INTERVAL_S = 0.1
+"""Pause after each order: ten orders per second are a fifth of what the users' platform accepts."""
 
 
-class _Subject(NamedTuple):
-    """What one order sets the count of."""
+class _OrderTarget(NamedTuple):
+    """The samplers whose number an order sets."""
 
     service: str
     zone: str
@@ -51,13 +52,17 @@
 
 
 class SamplerScaling:
-    """Runs in every process; only the holder of the duty orders.
+    """Orders the samplers that each service needs.
+
+    Runs in every process; only the holder of the duty gives orders.
 
     Parameters
     ==========
 
-    configuration : the newest one, or None while none is known.
-    items_of : the most items of a model that were open at once lately; None if not known.
+    process : name of this process.
+    configuration : returns the newest configuration; None while none is known.
+    items_of : returns the highest number of items of a model that were recently open at the same
+        time; None if unknown.
     """
 
     def __init__(
@@ -78,20 +83,20 @@
         self._configuration = configuration
         self._items_of = items_of
         self._fence: int | None = None
-        """The token under which the counts below were ordered."""
-        self._ordered: dict[_Subject, OrderedCount] = defaultdict(OrderedCount)
-        self._needs: dict[str, StabilizedCount] = {}
-        """Samplers that the work needs, by service."""
+        """Fencing token under which `_ordered_counts` were ordered."""
+        self._ordered_counts: dict[_OrderTarget, OrderedCount] = defaultdict(OrderedCount)
+        self._stabilized_needs: dict[str, StabilizedCount] = {}
+        """Number of samplers that the work needs, by service."""
         self._supply = StabilizedSupply()
-        self._dry = ExhaustedZones()
+        self._exhausted_zones = ExhaustedZones()
 
     async def run(self) -> None:
-        """Order what is missing until cancelled."""
+        """Order missing samplers until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            await self._look()
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
+            await self._reconcile()
 
-    async def _look(self) -> None:
+    async def _reconcile(self) -> None:
         scaled = self._scaled_services()
         if not scaled:
             return
@@ -99,67 +104,77 @@
         if fence is None:
             return
         if fence != self._fence:
-            self._ordered.clear()
+            self._ordered_counts.clear()
             self._fence = fence
         for service, bounds in scaled.items():
-            await self._scale(service, bounds, fence)
+            await self._scale_service(service, bounds, fence)
 
     def _scaled_services(self) -> dict[str, ScalingBounds]:
-        """What the operator allows for each service with samplers on demand."""
+        """Return the operator's limits for each service that is scaled."""
         configuration = self._configuration()
         services = configuration.services.values() if configuration is not None else ()
-        return {one.name: one.scaling for one in services if one.scaling is not None}
+        return {
+            definition.name: definition.scaling
+            for definition in services
+            if definition.scaling is not None
+        }
 
-    async def _scale(self, service: str, bounds: ScalingBounds, fence: int) -> None:
+    async def _scale_service(self, service: str, bounds: ScalingBounds, fence: int) -> None:
         back_ends = self._registry.staying_of(service)
         supply = self._supply_of(service, back_ends, bounds)
         now = time.monotonic()
         if not back_ends or not self._supply.is_settled(now):
             return
-        need = self._steady_need(service, back_ends, bounds.largest * len(supply))
-        dry = {zone for zone in supply if self._dry.is_exhausted(service, zone, now)}
-        for order in plan(service, bounds, supply, need, dry):
-            if order.zone not in dry and self._is_due(order, supply[order.zone], bounds, now):
+        need = self._stabilized_need(service, back_ends, bounds.largest * len(supply))
+        exhausted = {
+            zone for zone in supply if self._exhausted_zones.is_exhausted(service, zone, now)
+        }
+        for order in plan(service, bounds, supply, need, exhausted):
+            if order.zone not in exhausted and self._is_due(order, supply[order.zone], bounds, now):
                 await self._order(order, fence)
 
     def _supply_of(
         self, service: str, back_ends: list[BackEnd], bounds: ScalingBounds
     ) -> dict[str, ZoneSupply]:
-        seen = count_supply(back_ends, bounds.zone_prices)
+        observed = count_supply(back_ends, bounds.zone_prices)
         now = time.monotonic()
-        return {zone: self._supply.update(service, zone, one, now) for zone, one in seen.items()}
+        return {
+            zone: self._supply.update(service, zone, zone_supply, now)
+            for zone, zone_supply in observed.items()
+        }
 
-    def _steady_need(self, service: str, back_ends: list[BackEnd], largest: int) -> int:
-        """Samplers that the work needs; the largest count before the work is known.
+    def _stabilized_need(self, service: str, back_ends: list[BackEnd], largest: int) -> int:
+        """Return the number of samplers that the work needs.
 
-        One too many for a while costs less than a late first step.
+        Before the work is known, this is the largest number, because too many samplers for a while
+        cost less than a late first step.
         """
-        held = self._needs.setdefault(service, StabilizedCount(largest))
-        return held.update(self._need(back_ends))
+        held = self._stabilized_needs.setdefault(service, StabilizedCount(largest))
+        return held.update(self._current_need(back_ends))
 
-    def _need(self, back_ends: Iterable[BackEnd]) -> int | None:
-        models = {model for one in back_ends for model in one.record.versions}
-        slots = max((one.record.slots for one in back_ends), default=1)
+    def _current_need(self, back_ends: Iterable[BackEnd]) -> int | None:
+        models = {model for back_end in back_ends for model in back_end.record.versions}
+        slots = max((back_end.record.slots for back_end in back_ends), default=1)
         return required_samplers([self._items_of(model) for model in models], slots)
 
     def _is_due(self, order: Order, supply: ZoneSupply, bounds: ScalingBounds, now: float) -> bool:
-        there = supply.spot if order.kind is Kind.SPOT else supply.standing
-        return self._ordered_of(order).is_due(order.count, there, bounds.boot_s, now)
+        present = supply.spot if order.kind is Kind.SPOT else supply.standing
+        return self._ordered_count(order).is_due(order.count, present, bounds.boot_s, now)
 
-    def _ordered_of(self, order: Order) -> OrderedCount:
-        return self._ordered[_Subject(order.service, order.zone, order.kind)]
+    def _ordered_count(self, order: Order) -> OrderedCount:
+        return self._ordered_counts[_OrderTarget(order.service, order.zone, order.kind)]
 
     async def _order(self, order: Order, fence: int) -> None:
-        # Right before the call: the duty may have been lost meanwhile.
+        # Check the token right before the call: the duty may have been lost in the meantime.
         if self._duty.fence() != fence:
             return
-        ordered = self._ordered_of(order)
+        ordered = self._ordered_count(order)
         outcome = "taken"
         try:
             await self._market.order_samplers(order, self._process, fence)
             ordered.taken(order.count, time.monotonic())
         except OrderConflict:
-            outcome = await self._conflict(order, fence)
+            outcome = await self._resolve_conflict(order, fence)
             ordered.failed(time.monotonic())
         except (DutyRefused, DutyUnanswered) as error:
             outcome = f"{type(error).__name__}: {error}"
@@ -176,17 +191,21 @@
                 "outcome": outcome,
             },
         )
-        await asyncio.sleep(CALL_PAUSE_S)
+        await asyncio.sleep(ORDER_INTERVAL_S)
 
-    async def _conflict(self, order: Order, fence: int) -> str:
-        """What a refusal meant: a newer holder must have written the duty's key before it acted."""
+    async def _resolve_conflict(self, order: Order, fence: int) -> str:
+        """Find out why the platform refused an order, and return the outcome to log.
+
+        A newer holder must have written the duty's key before it acted, so the key tells whether
+        this process has been fenced.
+        """
         try:
             entry = await self._store.get(self._duty.holder_key)
         except KeyValueError as error:
-            # Said in the outcome of the order's line; the order is given again.
-            return f"refused, and the store did not say why ({type(error).__name__})"
+            # The error is logged in the outcome of the order; the order is given again.
+            return f"refused; reading the duty holder failed ({type(error).__name__})"
         if entry is None or entry.revision != fence:
             self._duty.refuse(fence)
             return "fenced"
-        self._dry.mark_exhausted(order.service, order.zone, time.monotonic())
-        return "none to be had"
+        self._exhausted_zones.mark_exhausted(order.service, order.zone, time.monotonic())
+        return "zone exhausted"
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -23,15 +23,15 @@
 CONFIGURATION = Configuration(1, services={"llm": ServiceDefinition("llm", scaling=BOUNDS)})
 
 
-class Market:
-    """Takes orders as the platform does; samplers are there at once, unless a zone is dry."""
+class FakeMarket:
+    """Accepts orders as the platform does; samplers serve at once, unless the zone is exhausted."""
 
     def __init__(self, registries):
         self.registries = registries
         self.calls = []
         self.desired = {}
-        self.highest = {}
-        self.dry = set()
+        self.highest_fences = {}
+        self.exhausted = set()
         self.failures = []
 
     async def order_samplers(self, order, holder, fence):
@@ -39,11 +39,11 @@
         if failure is DutyRefused:
             raise DutyRefused("throttled")
         subject = (order.service, order.zone)
-        if fence < self.highest.get(subject, 0):
+        if fence < self.highest_fences.get(subject, 0):
             raise OrderConflict
-        self.highest[subject] = fence
+        self.highest_fences[subject] = fence
         self.calls.append((holder, fence, order.zone, order.kind, order.count))
-        if order.zone in self.dry:
+        if order.zone in self.exhausted:
             raise OrderConflict
         self.desired[order.zone] = order.count
         self.fill(order.zone)
@@ -101,22 +101,24 @@
 
 
 @pytest.fixture
-async def two(monkeypatch):
-    monkeypatch.setattr(actor_module, "LOOK_S", 0.05)
+async def two_processes(monkeypatch):
+    monkeypatch.setattr(actor_module, "RECONCILE_INTERVAL_S", 0.05)
     monkeypatch.setattr(ordering_module, "EXHAUSTED_ZONE_PAUSE_S", 0.3)
     monkeypatch.setattr(supply_module, "SETTLE_TIME_S", 0.1)
     monkeypatch.setattr(demand_module, "STABILIZATION_WINDOW_S", 0.3)
     monkeypatch.setattr(ordering_module, "ARRIVAL_GRACE_S", 0.5)
-    store, market = MemoryStore(), Market([])
+    store, market = MemoryStore(), FakeMarket([])
     async with AsyncExitStack() as stack:
         processes = [await stack.enter_async_context(Process(store, name, market)) for name in "pq"]
         await eventually(lambda: any(one.duty.is_holder() for one in processes))
         yield store, market, processes
 
 
-async def test_one_process_orders_what_is_missing_and_then_nothing_more(two):
-    _, market, _ = two
-    await eventually(lambda: sum(market.desired.values()) == 6, "the largest at first")
+async def test_one_process_orders_what_is_missing_and_then_nothing_more(two_processes):
+    _, market, _ = two_processes
+    await eventually(
+        lambda: sum(market.desired.values()) == 6, "the largest number before the work is known"
+    )
     await eventually(lambda: sum(market.desired.values()) == 1, "24 items, 8 slots, 2 standing")
     calls = len(market.calls)
     await asyncio.sleep(0.5)
@@ -124,35 +126,39 @@
     assert len({holder for holder, *_ in market.calls}) == 1
 
 
-async def test_a_need_that_grows_is_met(two):
-    _, market, processes = two
+async def test_a_need_that_grows_is_met(two_processes):
+    _, market, processes = two_processes
     await eventually(lambda: sum(market.desired.values()) == 1)
     for process in processes:
         process.items = 64
-    await eventually(lambda: market.desired == {"a": 3, "b": 3}, "never over the largest")
+    await eventually(
+        lambda: market.desired == {"a": 3, "b": 3}, "never more than the largest number"
+    )
 
 
 @pytest.mark.parametrize("failure", [DutyRefused, DutyUnanswered])
-async def test_an_order_that_fails_is_given_again(two, failure):
-    _, market, _ = two
+async def test_an_order_that_fails_is_given_again(two_processes, failure):
+    _, market, _ = two_processes
     market.failures = [failure] * 3
     await eventually(lambda: sum(market.desired.values()) == 1 and not market.failures)
 
 
-async def test_what_a_dry_zone_lacks_comes_from_another_and_it_is_asked_again(two):
-    _, market, processes = two
-    market.dry = {"b"}
+async def test_what_an_exhausted_zone_lacks_comes_from_another_and_it_is_asked_again(two_processes):
+    _, market, processes = two_processes
+    market.exhausted = {"b"}
     for process in processes:
         process.items = 40
-    await eventually(lambda: market.desired.get("a") == 3, "all of it from the other zone")
-    market.dry = set()
+    await eventually(
+        lambda: market.desired.get("a") == 3, "all missing samplers from the other zone"
+    )
+    market.exhausted = set()
     await eventually(lambda: market.desired.get("b", 0) >= 1)
     holder = next(one for one in processes if one.duty.is_holder())
-    assert holder.duty._refused_fence == 0, "a dry zone is no newer holder"
+    assert holder.duty._refused_fence == 0, "an exhausted zone must not count as a newer holder"
 
 
-async def test_samplers_that_were_taken_away_are_ordered_again(two):
-    _, market, processes = two
+async def test_samplers_that_were_taken_away_are_ordered_again(two_processes):
+    _, market, processes = two_processes
     for process in processes:
         process.items = 64
     await eventually(lambda: market.desired == {"a": 3, "b": 3})
@@ -162,15 +168,15 @@
     assert market.calls[-1][2:] == market.calls[-1][2:3] + market.calls[-1][3:4] + (3,)
 
 
-async def test_a_newer_holder_ends_the_orders_of_the_old_one(two):
-    store, market, processes = two
+async def test_a_newer_holder_ends_the_orders_of_the_old_one(two_processes):
+    store, market, processes = two_processes
     await eventually(lambda: market.calls)
     holder = next(one for one in processes if one.duty.is_holder())
     other = next(one for one in processes if one is not holder)
     fence = market.calls[-1][1]
     await store.commit(Transaction(puts=[Put("state/scaling/holder", b"somebody")]))
-    for subject in market.highest:
-        market.highest[subject] = fence + 1000
+    for subject in market.highest_fences:
+        market.highest_fences[subject] = fence + 1000
     for process in processes:
         process.items = 64
     await asyncio.sleep(0.5)
@@ -178,8 +184,10 @@
     assert holder.duty.fence() is None and other.duty.fence() is None
 
 
-async def test_a_standing_sampler_that_crashes_and_returns_costs_no_spot_sampler(two, monkeypatch):
-    _, market, processes = two
+async def test_a_standing_sampler_that_crashes_and_returns_costs_no_spot_sampler(
+    two_processes, monkeypatch
+):
+    _, market, processes = two_processes
     for process in processes:
         process.items = 64
     await eventually(lambda: market.desired == {"a": 3, "b": 3})
