--- a/src/crankseam/orders/assignment.py
+++ b/src/crankseam/orders/assignment.py
@@ -1,8 +1,8 @@
 """Decides which samplers host which model, and so load each of its new weight versions.
 
 Inputs: the samplers of one service; its models with their newest announced versions; and, where
-known, the pace classes of the samplers, the number of open items and the share of each model. These
-values are at most 0.3 s old.
+known, the pace classes of the samplers, and the number of recently open items and the share of each
+model. These values are at most 0.3 s old.
 Rule: each model is assigned its share of the samplers, but not more than its items need with some
 reserve, and at least enough to use the loads that fit between two steps. Samplers that have the
 newest version loaded keep the model. The other places are distributed so that each sampler hosts
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -6,8 +6,8 @@
 Rule: a sampler that cannot serve the newest job is due at once. Some of the others are due after
 the burst of items that follows an announcement, and more of them late in the step. Few samplers
 load at the same time; the slow ones with the least work load first.
-Purpose: a load breaks off runs, and the slots of a sampler are not available to the model while it
-loads.
+Purpose: to limit the number of runs that loads break off, and of slots that a model lacks while its
+samplers load.
 Logged as: `version_named`, `version_ordered`, `version_loaded`.
 Tested by: tests/orders/test_loads.py, tests/orders/test_version_coordinator.py.
 """
--- a/src/crankseam/scaling/ordering.py
+++ b/src/crankseam/scaling/ordering.py
@@ -23,8 +23,8 @@
 """Samplers that are missing for this long after they should have booted are ordered again: an older
 order may have arrived after the last one, or the zone may have provided fewer samplers."""
 EXHAUSTED_ZONE_PAUSE_S = 4.0
-"""Time for which samplers that a zone could not provide are ordered in other zones. After this time,
-the zone is tried again."""
+"""Time for which samplers that a zone could not provide are ordered in other zones; after it, that
+zone is tried again."""
 
 
 class OrderedCount:
--- a/src/crankseam/scaling/plan.py
+++ b/src/crankseam/scaling/plan.py
@@ -125,10 +125,4 @@
 
 
 def _order(service: str, zone: str, kind: Kind, count: int, desired: int) -> Order:
-    return Order(
-        service,
-        zone,
-        kind,
-        count,
-        f"zone share of {desired} samplers that the service needs",
-    )
+    return Order(service, zone, kind, count, f"zone's share of {desired} samplers needed in total")
