--- a/src/crankseam/coordination/__init__.py
+++ b/src/crankseam/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""The coordination store and what processes agree on through it: watches, leases, duties."""
+"""Access to the coordination store, and what is built on it: watches, leases and duties."""
--- a/src/crankseam/coordination/metered_store.py
+++ b/src/crankseam/coordination/metered_store.py
@@ -1,6 +1,6 @@
-"""Counts and times the calls to a coordination store by kind and answer.
+"""Measures the duration and the outcome of each call to a coordination store.
 
-Owns nothing; passes every call on unchanged and reports it to an observer, such as the metrics.
+Every call is delegated unchanged and then reported to an observer, such as the process metrics.
 """
 
 from __future__ import annotations
@@ -20,21 +20,24 @@
 
 Result = TypeVar("Result")
 CallObserver = Callable[[str, str, float], None]
-"""Called with the call's name, the answer (`ok` or the error's type) and its seconds."""
+"""Called with the name of the call, its outcome and its duration in seconds.
+
+The outcome is `ok`, `cancelled`, or the class name of the exception.
+"""
 
 
 class MeteredStore:
-    """See CoordinationStore; passes every call on."""
+    """A CoordinationStore that delegates to another one and reports each call to an observer."""
 
     def __init__(self, store: CoordinationStore, observe: CallObserver) -> None:
         self._store = store
         self._observe = observe
 
-    async def _timed(self, call: str, work: Awaitable[Result]) -> Result:
+    async def _timed(self, call: str, operation: Awaitable[Result]) -> Result:
         started = time.monotonic()
         answer = "cancelled"
         try:
-            result = await work
+            result = await operation
             answer = "ok"
             return result
         except Exception as error:
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -104,7 +104,7 @@
         return self._avoided.is_avoided(peer.name, time.monotonic())
 
     def _is_passed_over(self, peer: Peer) -> bool:
-        return self._is_avoided(peer) and self._avoided.has_failed_again(peer.name)
+        return self._is_avoided(peer) and self._avoided.has_failed_repeatedly(peer.name)
 
     def is_watcher(self) -> bool:
         """Whether this process watches the store itself."""
