--- a/tests/coordination/test_duty.py
+++ b/tests/coordination/test_duty.py
@@ -36,7 +36,7 @@
 
 
 @pytest.fixture
-async def two():
+async def two_processes():
     store = MemoryStore()
     async with AsyncExitStack() as stack:
         first = await stack.enter_async_context(Process(store, "a"))
@@ -44,19 +44,19 @@
         yield store, first, second
 
 
-async def test_only_one_process_holds_the_right(two):
-    _, first, second = two
+async def test_only_one_process_holds_the_right(two_processes):
+    _, first, second = two_processes
     await asyncio.gather(first.holder.try_acquire(), second.holder.try_acquire())
     await eventually(lambda: not first.holder.is_vacant() and not second.holder.is_vacant())
     held = [one.holder.fence() for one in (first, second)]
     assert held.count(None) == 1
 
 
-async def test_the_next_holder_waits_and_has_a_higher_fence(two):
-    store, first, second = two
+async def test_the_next_holder_waits_and_has_a_higher_fence(two_processes):
+    store, first, second = two_processes
     await first.acquire()
     fence = first.holder.fence()
-    assert fence is not None, "nobody held it before: no wait"
+    assert fence is not None, "the first holder needs no handover pause"
     await first.lease.end()
     for task in first.tasks:
         task.cancel()
@@ -65,18 +65,18 @@
     vacant_at = asyncio.get_running_loop().time()
     await eventually(second.holder.may_try)
     await second.acquire()
-    assert second.holder.fence() is None, "orders of the former holder may be on their way"
+    assert second.holder.fence() is None, "orders of the former holder may still be in flight"
     await eventually(lambda: second.holder.fence() is not None)
     assert asyncio.get_running_loop().time() - vacant_at >= PAUSE
     assert second.holder.fence() > fence
 
 
-async def test_a_holder_that_started_again_goes_on_at_once(two):
-    store, first, second = two
+async def test_a_holder_that_started_again_goes_on_at_once(two_processes):
+    store, first, second = two_processes
     await first.acquire()
     fence = first.holder.fence()
     async with Process(store, "a") as again:
-        assert again.holder.may_try(), "its own earlier life is no other holder"
+        assert again.holder.may_try(), "it is the former holder itself"
         assert not second.holder.may_try()
         await again.holder.try_acquire()
         await eventually(lambda: again.holder.fence() is not None)
@@ -84,8 +84,8 @@
         await eventually(lambda: first.holder.fence() is None)
 
 
-async def test_others_leave_the_right_to_the_former_holder_for_a_while(two):
-    store, first, second = two
+async def test_others_leave_the_right_to_the_former_holder_for_a_while(two_processes):
+    store, first, second = two_processes
     await first.acquire()
     store.expire_lease(first.lease.number)
     await eventually(second.holder.is_vacant)
@@ -93,87 +93,91 @@
     await eventually(second.holder.may_try)
 
 
-async def test_no_order_while_the_lease_cannot_be_proved(two):
-    store, first, _ = two
+async def test_no_order_while_the_lease_cannot_be_proved(two_processes):
+    store, first, _ = two_processes
     await first.acquire()
     store.faults.down = True
     await eventually(lambda: first.holder.fence() is None)
-    assert first.lease.number in store._leases, "given up before the store took it back"
+    assert first.lease.number in store._leases, "the store still has the lease"
 
 
-async def test_a_right_won_by_a_lost_answer_is_noticed(two):
-    store, first, _ = two
+async def test_a_right_won_by_a_lost_answer_is_noticed(two_processes):
+    store, first, _ = two_processes
     store.faults.lose_answers = 1
     await first.acquire()
     await eventually(lambda: first.holder.fence() is not None)
     assert first.holder.fence() == store.entries["state/orders/holder"].revision
 
 
-async def test_a_token_that_a_sampler_refused_is_not_used_again(two):
-    _, first, _ = two
+async def test_a_token_that_a_sampler_refused_is_not_used_again(two_processes):
+    _, first, _ = two_processes
     await first.acquire()
     fence = first.holder.fence()
     first.holder.refuse(fence)
     assert first.holder.fence() is None
-    assert first.holder.may_try(), "the right is still held here: under a newer token"
+    assert first.holder.may_try(), "this process still holds the duty, but needs a newer token"
     await first.holder.try_acquire()
     await eventually(lambda: (first.holder.fence() or 0) > fence)
 
 
-class SuspendedWay:
-    """One process's way to the store; while its machine is suspended nothing comes through."""
+class SuspendableStoreClient:
+    """The store client of one process; its calls block while the machine is suspended."""
 
     def __init__(self, store):
         self._store = store
-        self.awake = asyncio.Event()
-        self.awake.set()
+        self.connected = asyncio.Event()
+        self.connected.set()
 
     def __getattr__(self, name):
         async def call(*arguments):
-            await self.awake.wait()
+            await self.connected.wait()
             answer = await getattr(self._store, name)(*arguments)
-            await self.awake.wait()
+            await self.connected.wait()
             return answer
 
         return call
 
 
-class Machine:
-    """The two clocks of a machine that may be suspended."""
+class SuspendableMachine:
+    """A machine that can be suspended, and its clock that stops while it is suspended."""
 
-    def __init__(self, way):
-        self._way = way
-        self._lost_s = 0.0
-        self._since = None
+    def __init__(self, client):
+        self._client = client
+        self._suspended_s = 0.0
+        self._suspended_at = None
 
     def suspend(self):
-        self._way.awake.clear()
-        self._since = time.monotonic()
+        self._client.connected.clear()
+        self._suspended_at = time.monotonic()
 
-    def wake(self):
-        self._lost_s += time.monotonic() - self._since
-        self._since = None
-        self._way.awake.set()
+    def resume(self):
+        self._suspended_s += time.monotonic() - self._suspended_at
+        self._suspended_at = None
+        self._client.connected.set()
 
     def paced_s(self):
-        now = time.monotonic() if self._since is None else self._since
-        return now - self._lost_s
+        now = time.monotonic() if self._suspended_at is None else self._suspended_at
+        return now - self._suspended_s
 
 
-class SuspendedProcess(Process):
+class SuspendableProcess(Process):
     def __init__(self, store, name):
-        way = SuspendedWay(store)
-        self.machine = Machine(way)
-        self.lease = ProcessLease(way)
-        self.state = PrefixFollower(way, "state/", lambda key, entry: None, 0.2)
-        self.holder = Duty(way, self.state, self.lease, name, "orders", PAUSE)
+        client = SuspendableStoreClient(store)
+        self.machine = SuspendableMachine(client)
+        self.lease = ProcessLease(client)
+        self.state = PrefixFollower(client, "state/", lambda key, entry: None, 0.2)
+        self.holder = Duty(client, self.state, self.lease, name, "orders", PAUSE)
 
 
-async def suspended_holder(clock_of):
-    """A holder that slept while another one took over, right after it woke."""
+async def resume_after_takeover(clock_of):
+    """Suspend the holder until another process has taken over, then resume it.
+
+    Returns the fencing token of the former holder, and whether it regards its lease as held, right
+    after it was resumed.
+    """
     store = MemoryStore()
     async with AsyncExitStack() as stack:
-        first = await stack.enter_async_context(SuspendedProcess(store, "a"))
+        first = await stack.enter_async_context(SuspendableProcess(store, "a"))
         second = await stack.enter_async_context(Process(store, "b"))
         clock = clock_of(first.machine)
         first.lease._clock = first.holder._clock = clock
@@ -181,20 +185,24 @@
         await first.acquire()
         assert first.holder.fence() is not None
         first.machine.suspend()
-        await eventually(lambda: second.holder._current() is not None)
+        await eventually(lambda: second.holder._current_entry() is not None)
         await eventually(second.holder.is_vacant)
         await eventually(second.holder.may_try)
         await second.holder.try_acquire()
         await eventually(lambda: second.holder.fence() is not None)
-        first.machine.wake()
+        first.machine.resume()
         return first.holder.fence(), first.lease.is_held()
 
 
 async def test_a_holder_that_was_suspended_holds_nothing_when_it_wakes():
-    assert await suspended_holder(lambda machine: clocks.promised_s) == (None, False)
+    assert await resume_after_takeover(lambda machine: clocks.promised_s) == (None, False)
 
 
 async def test_by_a_clock_that_stood_still_it_would_act_beside_its_successor():
-    """Why the clock of promises is another one: this is what the test above can notice."""
-    fence, held = await suspended_holder(lambda machine: machine.paced_s)
+    """Shows that the test above can fail.
+
+    With a clock that stops while the machine is suspended, the former holder still regards its
+    lease as held, and would act at the same time as its successor.
+    """
+    fence, held = await resume_after_takeover(lambda machine: machine.paced_s)
     assert held and fence is not None
--- a/tests/coordination/test_duty_machine.py
+++ b/tests/coordination/test_duty_machine.py
@@ -1,4 +1,8 @@
-"""Three processes compete for one duty, under faults: holders never mix, and tokens never fall."""
+"""Three processes compete for one duty while faults are injected.
+
+Checks that fencing tokens never decrease, that each token has one holder, and that a holder
+that lost the duty does not act again within the handover pause after its own last act.
+"""
 
 import asyncio
 import time
@@ -20,16 +24,16 @@
     (lease_module, "LEASE_S"): 0.3,
     (lease_module, "RENEW_S"): 0.05,
     (lease_module, "DRIFT_MARGIN_S"): 0.1,
-    (duty_module, "TURN_MARGIN_S"): 0.02,
+    (duty_module, "HANDOVER_MARGIN_S"): 0.02,
     (duty_module, "FORMER_HOLDER_FIRST_S"): 0.05,
 }
-"""The product's times, made short; their order stays."""
+"""Shortened values of the production constants, in the same order of size."""
 NAMES = ("a", "b", "c")
 PROCESS = st.sampled_from(NAMES)
 
 
-class Way:
-    """One process's way to the store."""
+class FaultyStoreClient:
+    """The store client of one process; it can be down or lose answers."""
 
     def __init__(self, store):
         self._store = store
@@ -50,7 +54,7 @@
 
 
 class Platform:
-    """Whoever is acted upon; it refuses lower tokens."""
+    """The target of the acts; it refuses a token that is lower than the highest one seen."""
 
     def __init__(self):
         self.acts = []
@@ -66,15 +70,15 @@
 
 class Process:
     def __init__(self, store, platform, name):
-        self.way = Way(store)
+        self.client = FaultyStoreClient(store)
         self.platform = platform
         self.name = name
         self.frozen_s = 0.0
-        self.woke_late = 0
-        self.lease = ProcessLease(self.way)
-        self.state = PrefixFollower(self.way, "state/", lambda key, entry: None, 0.05)
+        self.late_acts = 0
+        self.lease = ProcessLease(self.client)
+        self.state = PrefixFollower(self.client, "state/", lambda key, entry: None, 0.05)
         self.duty = Duty(
-            self.way, self.state, self.lease, name, "usage", PAUSE_S, lambda: list(NAMES)
+            self.client, self.state, self.lease, name, "usage", PAUSE_S, lambda: list(NAMES)
         )
         self.lease.relied_on.append(self.duty.is_holder)
         work = (self.lease.run, self.state.run, self._act)
@@ -87,10 +91,10 @@
             if fence is None:
                 continue
             if self.frozen_s:
-                # It froze right after it had looked, and acts on what it believed before.
+                # The process freezes after it has read its token, and acts under it afterwards.
                 frozen_s, self.frozen_s = self.frozen_s, 0.0
                 await asyncio.sleep(frozen_s)
-                self.woke_late += 1
+                self.late_acts += 1
                 if not self.platform.act(self.name, fence):
                     self.duty.refuse(fence)
                 continue
@@ -98,7 +102,7 @@
 
 
 class Competing(RuleBasedStateMachine):
-    """Each rule is a fault, after which the processes run for a moment."""
+    """Each rule injects a fault, if any, and then runs the processes for a short time."""
 
     def __init__(self):
         super().__init__()
@@ -131,18 +135,18 @@
 
     @rule(name=PROCESS, down=st.booleans())
     def store_refuses_one(self, name, down):
-        self.processes[name].way.down = down
+        self.processes[name].client.down = down
         self._run(0.1)
 
     @rule(down=st.booleans())
     def store_is_down(self, down):
         for process in self.processes.values():
-            process.way.down = down
+            process.client.down = down
         self._run(0.4)
 
     @rule(name=PROCESS, count=st.integers(1, 3))
     def answers_are_lost(self, name, count):
-        self.processes[name].way.lose_answers = count
+        self.processes[name].client.lose_answers = count
         self._run(0.1)
 
     @rule(name=PROCESS, seconds=st.sampled_from([0.05, 0.4, 0.9]))
