--- a/src/crankseam/coordination/interface.py
+++ b/src/crankseam/coordination/interface.py
@@ -1,7 +1,7 @@
 """Interface of a linearizable key-value store with revisions, leases, watches and transactions.
 
-The product's decisions are written against this interface; an adapter maps it to one store's wire.
-Every failure is a `KeyValueError` of `crankseam.errors` or one of the two answers below.
+Callers depend only on this interface; an adapter maps it to the protocol of a particular store.
+Every failure is a `KeyValueError`: one of `crankseam.errors` or one of the subclasses below.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 from crankseam.errors import KeyValueError
 
 NO_LEASE = 0
-"""Lease of an entry that stays until it is removed."""
+"""Lease number of an entry that is bound to no lease and stays until it is removed."""
 ABSENT = 0
-"""Revision of a key that does not exist, in a `Condition`."""
+"""In a `Condition`, the revision that stands for a key that does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key as the store holds it."""
+    """A key with its value, as stored."""
 
     key: str
     value: bytes
     revision: int
-    """The store's counter at the last change of this key."""
+    """Revision of the store at which this key was last changed."""
     lease: int = NO_LEASE
     created: int = 0
-    """The store's counter at the creation of this key; 0 if that is not known."""
+    """Revision of the store at which this key was created; 0 if it is not known."""
 
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """A key that was removed at `revision`."""
+    """The removal of a key at `revision`."""
 
     key: str
     revision: int
@@ -40,28 +40,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Part of a range; the next page starts after the last key of this one."""
+    """A part of a prefix, in key order; the next page starts after the last key of this one."""
 
     entries: list[Entry]
     more: bool
     revision: int
     age_s: float = 0.0
-    """Seconds by which the answer was old when it was given; 0 from the store itself."""
+    """Age of the entries in seconds at the time of the answer; 0 if the store itself answered."""
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What a watch saw; the next watch continues after `revision`."""
+    """The changes that a watch returned; the next watch continues after `revision`."""
 
     changes: list[Entry | Removal]
     revision: int
     age_s: float = 0.0
-    """Seconds before the question at which the answer held; negative if it held after it."""
+    """The result was complete this many seconds before the watch was requested; negative if it was
+    still complete after the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """The key's revision is this one (`ABSENT`: there is no such key)."""
+    """Requires that the key has this revision (`ABSENT`: that the key does not exist)."""
 
     key: str
     revision: int
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write `value` under `key`, bound to a lease if one is named."""
+    """Writes `value` under `key`, bound to `lease` unless this is `NO_LEASE`."""
 
     key: str
     value: bytes
@@ -78,7 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Everything or nothing; at most `MAX_TRANSACTION_ENTRIES` entries altogether."""
+    """Atomic: all puts and removals are done if every condition holds, otherwise none.
+
+    The conditions, puts and removals together number at most `MAX_TRANSACTION_ENTRIES`.
+    """
 
     conditions: list[Condition] = field(default_factory=list)
     puts: list[Put] = field(default_factory=list)
@@ -86,97 +90,112 @@
 
 
 MAX_TRANSACTION_ENTRIES = 32
-"""The least that any store behind this interface takes at once."""
+"""The smallest limit among the stores that implement this interface."""
 
 
 @dataclass
 class TransactionConflict(KeyValueError):
-    """A condition does not hold; nothing was done."""
+    """A condition of the transaction does not hold; nothing was done."""
 
     found: dict[str, Entry]
-    """The keys of the conditions that exist, as they are."""
+    """The current entries of the keys that the conditions name, without keys that do not exist."""
 
 
 class LeaseExpired(KeyValueError):
-    """The lease is over, and its keys are gone."""
+    """The lease has expired or was ended, and the store has removed its keys."""
 
 
 class HistoryCompacted(KeyValueError):
-    """The changes after the asked revision are no longer kept: read the range anew."""
+    """The store no longer keeps the changes after the given revision: read the prefix again."""
 
 
 class WatchedStore(Protocol):
-    """What following a prefix needs of the store. Times are seconds."""
+    """The calls that a follower of a prefix needs. Times are in seconds."""
 
     async def get(self, key: str) -> Entry | None:
-        """The newest state of one key; linearizable."""
+        """Return the current entry of a key, or None; linearizable."""
 
     async def page(self, prefix: str, after_key: str = "") -> Page:
-        """One page of a range; linearizable, but pages together are no snapshot."""
+        """Return one page of a prefix, starting after ``after_key``.
+
+        Each page is linearizable, but several pages are not a consistent snapshot.
+        """
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
-        """Changes after a revision, as soon as there is one, or none after `wait_s` seconds.
+        """Return the changes after a revision as soon as there are any.
+
+        If there are none within ``wait_s`` seconds, the result is empty.
 
         Raises
         ======
 
-        HistoryCompacted : the range must be read again.
+        HistoryCompacted : the prefix must be read again.
         """
 
 
 class TransactionStore(Protocol):
-    """What changing keys needs of the store."""
+    """The call that changes keys."""
 
     async def commit(self, transaction: Transaction) -> int:
-        """Do the transaction; returns its revision.
+        """Execute a transaction and return its revision.
 
         Raises
         ======
 
         TransactionConflict : nothing was done.
-        LeaseExpired : a lease named by a put is over; nothing was done.
+        LeaseExpired : the lease of a put does not exist any more; nothing was done.
         KeyValueUnavailable : nothing was done.
-        KeyValueOutcomeUnknown : it may have been done, or may be done seconds later.
+        KeyValueOutcomeUnknown : the transaction may have been done, or may be done seconds later.
         """
 
 
 class GrantedLease(NamedTuple):
-    """A new lease: its number, and its duration in seconds from the arrival of the call."""
+    """A new lease: its number, and its duration in seconds.
+
+    The duration counts from the arrival of the call at the store.
+    """
 
     number: int
     duration_s: float
 
 
 class CoordinationStore(WatchedStore, TransactionStore, Protocol):
-    """Typed access to the store. Times are seconds."""
+    """All calls of the store. Times are in seconds."""
 
     async def grant_lease(self, duration: float) -> GrantedLease:
-        """A new lease."""
+        """Create a lease that expires unless it is renewed within its duration."""
 
     async def renew_lease(self, lease: int) -> float:
-        """Renew; returns the duration in seconds from the call's arrival. Raises LeaseExpired."""
+        """Renew a lease; return its duration in seconds from the arrival of the call at the store.
+
+        Raises
+        ======
+
+        LeaseExpired : the lease does not exist any more.
+        """
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and remove its keys."""
+        """End a lease and remove the keys that are bound to it."""
 
 
 class PrefixReading(NamedTuple):
-    """All entries of a prefix, and the revision from which a watch misses nothing."""
+    """All entries of a prefix, and the revision from which a watch misses no change."""
 
     entries: list[Entry]
     revision: int
 
 
 async def read_prefix(store: WatchedStore, prefix: str) -> PrefixReading:
-    """See read_whole_prefix."""
+    """Return the entries and the revision of `read_whole_prefix`."""
     whole = await read_whole_prefix(store, prefix)
     return PrefixReading(whole.entries, whole.revision)
 
 
 async def read_whole_prefix(store: WatchedStore, prefix: str) -> Page:
-    """All entries of a prefix in one page, with the revision and age of the first one.
+    """Return all entries of a prefix as one page, with the revision and the age of its first page.
 
-    A watch from that revision misses nothing, though pages together are no snapshot.
+    The pages together are not a consistent snapshot, but a watch from this revision misses no
+    change.
     """
     entries: list[Entry] = []
     first = await store.page(prefix)
