--- a/src/crankseam/coordination/feed.py
+++ b/src/crankseam/coordination/feed.py
@@ -1,8 +1,9 @@
-"""What a follower of a prefix took lately, kept so that other processes can follow it too.
+"""The recent changes of a prefix, kept so that other processes can follow it through this one.
 
-Owns the newest changes of one prefix and the time at which the store last confirmed that there is
-nothing newer (seconds, suspended time counted). Relies on the follower that fills it. A feed that
-was not confirmed lately answers nobody: an old copy is never passed off as the store's state.
+A feed keeps the newest changes of one prefix, and the time at which the store last confirmed that
+there are no newer ones (seconds of the clock that includes the time for which the machine was
+suspended). A follower of the prefix fills the feed. A feed that was not confirmed recently refuses
+to answer, so that an outdated copy is never presented as the state of the store.
 """
 
 from __future__ import annotations
@@ -17,27 +18,29 @@
 from crankseam.errors import KeyValueUnavailable
 
 MAX_CHANGES = 2048
-"""Changes kept for readers; a reader that is further behind reads the whole prefix. Origin not
-recorded."""
+"""Number of changes kept for readers; a reader that is further behind reads the whole prefix."""
 
 
 class PrefixFeed:
-    """The newest changes of one prefix, in order, and how fresh they are.
+    """The newest changes of one prefix in order of their revisions, and their freshness.
 
     Explanation
     ===========
 
     The feed holds every change with a revision above ``start_revision`` and up to ``revision``.
-    It is fresh while the follower behind it has heard lately from the store that there is
-    nothing newer; a feed that is not fresh answers nobody, so that its readers turn to the store.
-    A watch that waits at the store is such word too, as of the last other call that the store
-    answered: the way is open, so news would have come.
+    It is fresh while the store has recently confirmed to the follower that there are no newer
+    changes. A feed that is not fresh refuses to answer, so that its readers call the store instead.
+
+    A watch that is pending at the store also confirms the feed, as of the latest other call that
+    the store answered directly: the store was reachable at that time, so the watch would have
+    returned any change.
 
     Parameters
     ==========
 
-    max_age_s : seconds since the last confirmation up to which the feed answers.
-    answered_at : when the newest call was sent that the store answered this process directly.
+    max_age_s : the feed is fresh for this many seconds after a confirmation.
+    answered_at : returns when the latest call was sent that the store answered to this process
+        directly.
     """
 
     def __init__(
@@ -45,7 +48,7 @@
     ) -> None:
         self.max_age_s = max_age_s
         self._answered_at = answered_at
-        self._watch_waits = False
+        self._is_watch_pending = False
         self.start_revision = 0
         self.revision = 0
         self._confirmed_at = float("-inf")
@@ -53,13 +56,16 @@
         self._news = asyncio.Event()
 
     def restart(self, revision: int, confirmed_at: float) -> None:
-        """The prefix was read anew: what changed on the way here is not known one by one."""
+        """Drop all changes after the whole prefix was read again.
+
+        The individual changes between the previous revision and this one are not known.
+        """
         self._changes.clear()
         self.start_revision = revision
         self._advance(revision, confirmed_at)
 
     def extend(self, changes: list[Entry | Removal], revision: int, confirmed_at: float) -> None:
-        """Take what a watch saw, complete up to ``revision``."""
+        """Append the changes of a watch whose result is complete up to ``revision``."""
         for change in changes:
             if change.revision > self.revision:
                 self._changes.append(change)
@@ -74,31 +80,31 @@
         news.set()
 
     def age_s(self) -> float:
-        """Seconds since a call was sent whose answer showed the feed to be complete."""
-        if self._watch_waits:
-            self._confirm()
+        """Seconds since the latest request was sent whose answer confirmed the feed as complete."""
+        if self._is_watch_pending:
+            self._confirm_by_direct_call()
         return clocks.promised_s() - self._confirmed_at
 
-    def _confirm(self) -> None:
+    def _confirm_by_direct_call(self) -> None:
         self._confirmed_at = max(self._confirmed_at, self._answered_at())
 
     def watch_began(self) -> None:
-        """A watch from the newest revision waits at the store from now on."""
-        self._watch_waits = True
+        """Record that a watch from the newest revision is pending at the store."""
+        self._is_watch_pending = True
 
     def watch_ended(self, answered: bool) -> None:
-        """The watch waits no longer; whether the store answered it."""
-        if self._watch_waits and answered:
-            self._confirm()
-        self._watch_waits = False
+        """Record that the watch has ended; ``answered`` tells whether the store answered it."""
+        if self._is_watch_pending and answered:
+            self._confirm_by_direct_call()
+        self._is_watch_pending = False
 
     def after(self, revision: int) -> list[Entry | Removal]:
-        """Changes with a higher revision, in order.
+        """Return the changes above a revision, in order.
 
         Raises
         ======
 
-        HistoryCompacted : the feed does not reach back so far.
+        HistoryCompacted : the feed no longer has all changes after this revision.
         """
         if revision < self.start_revision:
             raise HistoryCompacted(str(revision))
@@ -109,14 +115,16 @@
         if self.age_s() > self.max_age_s:
             raise KeyValueUnavailable("the feed is stale")
 
-    async def wait_after(self, revision: int, wait_s: float) -> Changes:
-        """Changes above a revision, as soon as there is one, or none after ``wait_s`` seconds.
+    async def wait_for_changes(self, revision: int, wait_s: float) -> Changes:
+        """Return the changes above a revision as soon as there are any.
+
+        If there are none within ``wait_s`` seconds, the result is empty.
 
         Raises
         ======
 
-        HistoryCompacted : the feed does not reach back so far.
-        KeyValueUnavailable : the feed is not fresh, or did not stay so.
+        HistoryCompacted : the feed no longer has all changes after this revision.
+        KeyValueUnavailable : the feed is not fresh, or became stale during the wait.
         """
         deadline = time.monotonic() + wait_s
         while True:
@@ -130,5 +138,5 @@
                 async with asyncio.timeout(min(left_s, self.max_age_s - self.age_s())):
                     await news.wait()
             except TimeoutError:
-                # Nothing came: the loop ends the wait, or finds the feed stale.
+                # No change arrived: the next pass returns an empty result or finds the feed stale.
                 continue
--- a/src/crankseam/coordination/feed_messages.py
+++ b/src/crankseam/coordination/feed_messages.py
@@ -1,6 +1,6 @@
-"""What a process asks of one that watches the store for it, and the answer, as they travel.
+"""Messages between a reader of a prefix and a process that serves its feed of the prefix.
 
-The wire carries the field names and the refusals: they stay.
+The field names and the refusal codes are part of the wire format and must not change.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 from crankseam.errors import KeyValueError
 
 LARGE_VALUE_BYTES = 16 * 1024
-"""Larger values are read from the store: a watcher's link is narrow, and it would carry them once
-for each reader. Origin of the figure not recorded."""
+"""Readers fetch larger values from the store: the network link of a watcher is narrow, and would
+carry each value once for each reader."""
 
 
 class FeedQuestion(msgspec.Struct, frozen=True):
-    """What is new below a prefix? With a negative revision: all that is there.
+    """Request for the changes below a prefix after a revision.
 
     Attributes
     ==========
 
-    wait_s : seconds to wait for news where there is none yet.
+    after_revision : if it is negative, all entries of the prefix are requested.
+    wait_s : seconds to wait for a change if there is none yet.
     """
 
     prefix: str
@@ -32,14 +33,14 @@
 
 
 class FeedAnswer(msgspec.Struct, frozen=True):
-    """Changes up to ``revision``.
+    """The changes up to ``revision``, or a refusal.
 
     Attributes
     ==========
 
-    refusal : why there is no answer; empty where there is one.
-    large : keys whose values are to be read from the store.
-    age_s : seconds since the store confirmed that there is nothing newer.
+    refusal : code of the reason for a refusal; empty if the request was answered.
+    large : keys whose values are too large for the answer; the reader gets them from the store.
+    age_s : seconds since the store confirmed that there are no newer changes.
     """
 
     refusal: str = ""
@@ -56,7 +57,7 @@
 
 @singledispatch
 def refusal_of(error: KeyValueError) -> str:
-    """The refusal that stands for a failure to answer."""
+    """The refusal code for an error that prevented an answer."""
     return REFUSED_UNAVAILABLE
 
 
@@ -65,8 +66,8 @@
     return REFUSED_COMPACTED
 
 
-def as_answer(seen: Changes, age_s: float) -> FeedAnswer:
-    """The answer to a reader; large values it reads from the store."""
+def make_feed_answer(seen: Changes, age_s: float) -> FeedAnswer:
+    """Build the answer to a reader; large values are replaced by their keys."""
     entries: list[Entry] = []
     removals: list[Removal] = []
     large: list[str] = []
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -25,7 +25,7 @@
     REFUSED_UNAVAILABLE,
     FeedAnswer,
     FeedQuestion,
-    as_answer,
+    make_feed_answer,
     refusal_of,
 )
 from crankseam.coordination.follower import PrefixFollower
@@ -231,6 +231,6 @@
         if question.after_revision < 0:
             follower.feed.check_fresh()
             page = Changes(list(follower.entries.values()), follower.feed.revision)
-            return as_answer(page, follower.feed.age_s())
-        changes = await follower.feed.wait_after(question.after_revision, question.wait_s)
-        return as_answer(changes, follower.feed.age_s())
+            return make_feed_answer(page, follower.feed.age_s())
+        changes = await follower.feed.wait_for_changes(question.after_revision, question.wait_s)
+        return make_feed_answer(changes, follower.feed.age_s())
--- a/tests/coordination/test_shared_watch.py
+++ b/tests/coordination/test_shared_watch.py
@@ -195,7 +195,7 @@
     stale = PrefixFeed(max_age_s=0.0)
     stale.restart(10, now - 1.0)
     with pytest.raises(KeyValueUnavailable):
-        await stale.wait_after(10, 1.0)
+        await stale.wait_for_changes(10, 1.0)
 
 
 async def test_a_lagging_watcher_takes_nothing_back(monkeypatch):
