--- a/src/crankseam/coordination/peer_http.py
+++ b/src/crankseam/coordination/peer_http.py
@@ -1,7 +1,7 @@
-"""Calls between processes of one deployment: a path for each kind, over HTTP, bytes both ways.
+"""HTTP transport for calls between the processes of a deployment, with one path for each kind.
 
-Owns the connections to peers and the listener for theirs. Relies on each kind's own messages and
-handler; knows nothing of what the bytes say.
+This module manages the outgoing connections and the listener. Requests and answers are opaque
+bytes; each kind of call defines its own messages and its own handler.
 """
 
 from __future__ import annotations
@@ -18,39 +18,40 @@
 log = logging.getLogger(__name__)
 
 RELAY_PATH = "/store"
-"""A call of the store, made for a peer that it does not serve."""
+"""A call to the store on behalf of a peer that the store does not serve."""
 FEED_PATH = "/feed"
-"""What is new below a prefix of the store."""
+"""The changes below a prefix of the store."""
 RESULTS_PATH = "/results"
-"""Results of a job that the asked process runs."""
+"""The results of a job that the called process runs."""
 JOBS_PATH = "/jobs"
-"""A job for the asked process to run."""
+"""A job that the called process is to run."""
 SUSPECTS_PATH = "/suspects"
-"""Requests under which back ends ended, while the store is away."""
+"""Reports of requests during which back ends ended, while the store is unavailable."""
 USAGE_PATH = "/usage-counts"
-"""What the asking process counted, for the holder of the usage duty."""
+"""The usage that the calling process counted, for the holder of the usage duty."""
 NOT_SERVED = 404
-"""HTTP status of a peer that knows no such kind of call."""
-CONNECT_S = 0.4
-"""A connection to a peer is made within this, or the call fails; origin not recorded."""
+"""HTTP status with which a peer answers a kind of call that it does not serve."""
+CONNECT_TIMEOUT_S = 0.4
+"""Time limit for the connection to a peer; the call fails after it."""
 MAX_CALL_BYTES = 4 * 1024 * 1024
-"""A larger call is refused by the listener; origin not recorded."""
-TELL_S = 1.0
-"""A peer takes what all are told within this, or is left out; origin not recorded."""
-TOLD_AT_ONCE = 32
-"""Peers that are called at one time: a slow core opens some hundred connections a second."""
+"""The listener rejects calls with a larger body."""
+BROADCAST_TIMEOUT_S = 1.0
+"""Time limit for each peer in `PeerClient.tell_all`; a slower peer is left out."""
+BROADCAST_CONCURRENCY = 32
+"""Number of peers that `PeerClient.tell_all` calls concurrently. A slow CPU core opens only about a
+hundred connections per second."""
 
 CallHandler = Callable[[bytes], Awaitable[bytes]]
 
 
 class PeerClient:
-    """Calls peers by their addresses (`ip:port`)."""
+    """HTTP client for calls to peers, which are identified by their addresses (`ip:port`)."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Open the session; needs a running event loop."""
+        """Open the HTTP session; requires a running event loop."""
         self._session = aiohttp.ClientSession()
 
     async def close(self) -> None:
@@ -58,17 +59,18 @@
         if self._session is not None:
             await self._session.close()
 
-    async def call(self, path: str, address: str, body: bytes, longest: float) -> bytes:
-        """Send bytes to one path of a peer; its answer within ``longest`` seconds.
+    async def call(self, path: str, address: str, body: bytes, timeout_s: float) -> bytes:
+        """Post ``body`` to a path of a peer; return its answer, awaited for ``timeout_s`` seconds.
 
         Raises
         ======
 
-        KeyValueUnavailable : nothing was sent.
-        KeyValueOutcomeUnknown : no answer came, or the peer failed while it worked on one.
+        KeyValueUnavailable : the connection failed, or the peer does not serve this kind of call;
+            nothing was done.
+        KeyValueOutcomeUnknown : no answer came, or the peer failed while it handled the call.
         """
         assert self._session is not None
-        timeout = aiohttp.ClientTimeout(total=longest, sock_connect=CONNECT_S)
+        timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         url = f"http://{address}{path}"
         try:
             async with self._session.post(url, data=body, timeout=timeout) as response:
@@ -84,28 +86,28 @@
             raise KeyValueOutcomeUnknown(f"peer: {type(error).__name__}") from error
 
     async def tell_all(self, path: str, addresses: list[str], body: bytes) -> None:
-        """Send bytes to many peers; one that can't be reached is left out."""
-        at_once = asyncio.Semaphore(TOLD_AT_ONCE)
+        """Post ``body`` to a path of many peers; failures are logged and otherwise ignored."""
+        semaphore = asyncio.Semaphore(BROADCAST_CONCURRENCY)
 
-        async def tell(address: str) -> None:
-            async with at_once:
+        async def send(address: str) -> None:
+            async with semaphore:
                 try:
-                    await self.call(path, address, body, TELL_S)
+                    await self.call(path, address, body, BROADCAST_TIMEOUT_S)
                 except KeyValueError as error:
                     log.info("peer_not_told", extra={"peer": address, "error": str(error)})
 
-        await asyncio.gather(*(tell(address) for address in addresses))
+        await asyncio.gather(*(send(address) for address in addresses))
 
 
 class PeerListener:
-    """Serves the calls of peers: one handler a path."""
+    """HTTP server for the calls of peers, with one handler for each path."""
 
     def __init__(self, handlers: dict[str, CallHandler]) -> None:
         self._handlers = handlers
         self._listener: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Listen on `ip:port`."""
+        """Start to listen on ``address`` (`ip:port`)."""
         server = web.Server(self._handle, access_log=None, request_factory=self._make_request)
         host, port = address.rsplit(":", 1)
         loop = asyncio.get_running_loop()
@@ -125,6 +127,6 @@
         return web.Response(body=await handle(await request.read()))
 
     def close(self) -> None:
-        """Take no more calls."""
+        """Stop accepting connections."""
         if self._listener is not None:
             self._listener.close()
--- a/src/crankseam/coordination/presence.py
+++ b/src/crankseam/coordination/presence.py
@@ -1,7 +1,7 @@
-"""Announces where this process is reached, for as long as it lives, and finds the others.
+"""Service discovery: announces the address of this process, and lists the other processes.
 
-Owns this process's key below the prefix of states, under its lease, and the last addresses that
-were known. Relies on the follower of states: a process that is gone is listed until its lease ends.
+Each process writes a key below the state prefix, bound to its lease. The list comes from the local
+copy of the state prefix, so a process that is gone remains listed until its lease ends.
 """
 
 from __future__ import annotations
@@ -19,44 +19,44 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 1.0
-"""How often this process looks whether it is to announce itself, and tries again; origin not
-recorded."""
+CHECK_INTERVAL_S = 1.0
+"""Interval in seconds at which a process checks whether it must announce itself (again)."""
 PROCESS_FOLDER = "process/"
-"""Below the prefix of states: a key for each living process."""
+"""Path below the state prefix that contains one key for each live process."""
 DEFAULT_CAPACITY = 1.0
-"""Size of a machine that does not say it: then all count alike."""
+"""Capacity of a machine that announces none; machines without capacities all rank equally."""
 ProcessAsker = Callable[[str, bytes, float], Awaitable[bytes]]
-"""Sends bytes to a process by its name and returns its answer within so many seconds.
+"""Sends bytes to the process of a given name and returns its answer.
 
-Raises KeyValueError if there is no such process, or no answer.
+The last argument is the time limit in seconds. Raises KeyValueError if there is no such process or
+no answer.
 """
 
 
 class Announcement(NamedTuple):
-    """What a process says of itself: its ``ip:port``, and how large its machine is."""
+    """The announcement of a process: its address (``ip:port``) and the capacity of its machine."""
 
     address: str
     capacity: float
 
 
 def encode_presence(address: str, capacity: float) -> bytes:
-    """See Announcement."""
+    """Encode an Announcement as the value of a key."""
     return f"{address} {capacity:g}".encode()
 
 
 def decode_presence(value: bytes) -> Announcement:
-    """See Announcement; a capacity that can't be read is the default."""
+    """Decode an Announcement; a missing or malformed capacity becomes `DEFAULT_CAPACITY`."""
     address, _, capacity = value.decode().partition(" ")
     try:
         return Announcement(address, float(capacity))
     except ValueError:
-        # Written by a process that tells no capacity.
+        # Written by a process that announces no capacity.
         return Announcement(address, DEFAULT_CAPACITY)
 
 
 def living_capacities(state: PrefixFollower) -> dict[str, float]:
-    """The processes that announced themselves, with the sizes of their machines."""
+    """The announced processes, with the capacities of their machines."""
     prefix = state.prefix + PROCESS_FOLDER
     return {
         key.removeprefix(prefix): decode_presence(entry.value).capacity
@@ -66,14 +66,14 @@
 
 
 class Presence:
-    """A key with this process's address, under its lease.
+    """Maintains the announcement of this process, and lists the announced processes.
 
     Parameters
     ==========
 
-    state : follows the prefix below which the keys stand.
-    address : where peers reach this process, ``ip:port``.
-    capacity : how large its machine is, beside others of the deployment.
+    state : follower of the state prefix.
+    address : address at which peers reach this process (``ip:port``).
+    capacity : capacity of its machine, relative to the other machines of the deployment.
     """
 
     def __init__(
@@ -91,13 +91,15 @@
         self._prefix = state.prefix + PROCESS_FOLDER
         self._key = self._prefix + process
         self._announcement = encode_presence(address, capacity)
-        self._announced_under = 0
-        self._known: list[str] = []
+        self._announced_lease = 0
+        self._last_known_peers: list[str] = []
 
     def processes(self) -> list[Peer]:
-        """All that announced themselves, this process among them.
+        """All announced processes, including this one.
 
-        One that announced itself again under another lease counts as there since its first time.
+        The revision of a peer is that of the creation of its key, as far as it is known. A process
+        that announced itself again under another lease thus keeps the revision of its first
+        announcement.
         """
         return [
             Peer(
@@ -110,27 +112,31 @@
         ]
 
     def address_of(self, process: str) -> str | None:
-        """Where a process is reached; None if it is not known to live."""
+        """The address of a process; None if the process is not announced."""
         entry = self._state.entries.get(self._prefix + process)
         return decode_presence(entry.value).address if entry is not None else None
 
     def capacities(self) -> dict[str, float]:
-        """All that announced themselves, with the sizes of their machines."""
+        """All announced processes, with the capacities of their machines."""
         return living_capacities(self._state)
 
     def peers(self) -> list[str]:
-        """Addresses of the other processes; the last known ones while the store is out of reach."""
-        current = [one.address for one in self.processes() if self._prefix + one.name != self._key]
+        """Addresses of the other processes; if none is listed, the last known addresses."""
+        current = [
+            process.address
+            for process in self.processes()
+            if self._prefix + process.name != self._key
+        ]
         if current:
-            self._known = current
-        return list(self._known)
+            self._last_known_peers = current
+        return list(self._last_known_peers)
 
     async def run(self) -> None:
         """Announce this process under each new lease, until cancelled."""
         while True:
-            if self._lease.is_held() and self._announced_under != self._lease.number:
+            if self._lease.is_held() and self._announced_lease != self._lease.number:
                 await self._announce()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _announce(self) -> None:
         lease = self._lease.number
@@ -140,4 +146,4 @@
         except KeyValueError as error:
             log.warning("presence_not_told", extra={"error": type(error).__name__})
             return
-        self._announced_under = lease
+        self._announced_lease = lease
--- a/tests/coordination/test_peer_http.py
+++ b/tests/coordination/test_peer_http.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-async def called():
+async def peer():
     address = f"127.0.0.1:{free_port()}"
     listener = PeerListener({"/fail": fail, "/echo": echo})
     await listener.start(address)
@@ -25,14 +25,14 @@
     listener.close()
 
 
-async def test_a_peer_that_failed_while_it_worked_may_have_done_it(called):
-    client, address = called
+async def test_a_peer_that_failed_while_it_worked_may_have_done_it(peer):
+    client, address = peer
     with pytest.raises(KeyValueOutcomeUnknown):
         await client.call("/fail", address, b"x", 2.0)
 
 
-async def test_a_peer_that_does_not_serve_a_call_did_nothing(called):
-    client, address = called
+async def test_a_peer_that_does_not_serve_a_call_did_nothing(peer):
+    client, address = peer
     assert await client.call("/echo", address, b"x", 2.0) == b"x"
     with pytest.raises(KeyValueUnavailable):
         await client.call("/other", address, b"x", 2.0)
