--- a/tests/coordination/test_process_lease.py
+++ b/tests/coordination/test_process_lease.py
@@ -34,7 +34,7 @@
     await eventually(lambda: lease.is_held())
     store.faults.down = True
     await eventually(lambda: not lease.is_held())
-    assert lease.number in store._leases, "the store must not have taken it back yet"
+    assert lease.number in store._leases, "the store must not have ended it yet"
     task.cancel()
 
 
@@ -67,19 +67,19 @@
     assert number != idle and store._leases[number][1] == LEASE_S
     assert await lease.ensure() == number and new == [idle, number]
     await asyncio.sleep(LEASE_S + 0.3)
-    assert lease.number == number and lease.is_held(), "renewed in time from the first moment on"
+    assert lease.number == number and lease.is_held(), "the first renewal must already be in time"
     task.cancel()
 
 
 async def test_a_process_that_others_rely_on_wins_a_short_lease():
-    store, needed = MemoryStore(), []
+    store, relied_on = MemoryStore(), []
     lease = ProcessLease(store)
-    lease.relied_on.append(lambda: bool(needed))
+    lease.relied_on.append(lambda: bool(relied_on))
     await lease._renew_once()
     idle = lease.number
     await lease._renew_once()
     assert lease.number == idle
-    needed.append(1)
+    relied_on.append(1)
     await lease._renew_once()
     assert lease.number != idle and store._leases[lease.number][1] == LEASE_S
 
@@ -127,7 +127,11 @@
 
 
 async def test_a_short_lease_outlasts_a_way_that_fails_for_a_while(monkeypatch):
-    """What the store refuses to this process goes through a peer soon: it must be tried by then."""
+    """A short lease must be retried soon after a failed renewal.
+
+    Calls that the store refuses soon go through a peer, so a retry can succeed before the lease
+    expires.
+    """
     monkeypatch.setattr(process_lease, "RENEW_S", 1000.0)
     monkeypatch.setattr(process_lease, "RETRY_S", 0.02)
     store = MemoryStore()
@@ -138,5 +142,5 @@
     task = asyncio.create_task(lease.run())
     await eventually(lambda: lease._failing)
     store.faults.down = False
-    await eventually(lambda: not lease._failing, "tried again long before the next renewal")
+    await eventually(lambda: not lease._failing, "a retry before the next regular renewal")
     task.cancel()
