--- a/src/crankseam/coordination/ranking.py
+++ b/src/crankseam/coordination/ranking.py
@@ -1,12 +1,14 @@
-"""In which order do processes try for what nobody holds: a duty, or a job whose process is gone?
-
-Inputs: the subject's name; the names of all living processes, or the sizes of their machines.
-Rule: rendezvous hashing of subject and name ranks the processes, those of large machines first
-where sizes count. The first tries almost at once, each of the next few a step later, all others
-at a random time after these.
-Protects: the store, from as many tries as there are processes; each process works the order out
-alike, and when one leaves, only its own subjects move.
-Shown by: `duty_won`, `job_taken_over`. Held by: tests/coordination/test_ranking.py.
+"""The order in which processes try to acquire a vacant subject: a duty, or a job without a process.
+
+Inputs: the name of the subject; the names of all live processes, or the capacities of their
+machines.
+Rule: rendezvous hashing of the subject and the process name ranks the processes. Where capacities
+are given, processes on large machines rank first. The first process tries almost at once, each of
+the next few processes one step later, and all others at a random time after these.
+Purpose: the store does not receive one attempt from every process. All processes compute the same
+order, and if a process leaves, only its own subjects move.
+Logged as: `duty_won`, `job_taken_over`.
+Tested by: tests/coordination/test_ranking.py.
 """
 
 from __future__ import annotations
@@ -14,25 +16,25 @@
 import hashlib
 import random
 
-LARGE_SHARE = 0.5
-"""A machine of at least this share of the largest one's capacity counts as large. Chosen over a
-ranking by size among all: last result to listing 0.08 -> 0.05 s on a day with 6 large of 68."""
+LARGE_CAPACITY_FRACTION = 0.5
+"""A machine counts as large if it has at least this fraction of the largest capacity. Compared with
+a ranking of all machines by capacity, this reduced the time from the last result to the listing
+from 0.08 s to 0.05 s with 6 large machines among 68."""
 FIRST_TURN_S = 0.05
-"""The process that ranks first tries after this; origin not recorded."""
+"""Delay of the process that ranks first."""
 TURN_STEP_S = 0.12
-"""Each next one tries so much later: by then it has seen the success of the one before. Origin of
-the figure not recorded."""
+"""Additional delay of each next process; within it, a process learns that the previous one has
+succeeded."""
 TURN_RANKS = 4
-"""So many have a turn of their own; origin not recorded."""
-TURN_SPREAD_S = 0.4
-"""Processes of lower ranks try at a random time within this after the last of these; origin not
-recorded."""
+"""Number of processes that have a fixed delay."""
+TURN_JITTER_S = 0.4
+"""Processes of lower ranks try at a random time within this period after the fixed delays."""
 
 
 def rank_processes(subject: str, processes: list[str]) -> list[str]:
-    """Processes by how well they suit a subject: rendezvous hashing.
+    """Rank processes for a subject by rendezvous hashing.
 
-    Each process works it out alike, and when one leaves, only its own subjects move.
+    All processes compute the same order, and if a process leaves, only its own subjects move.
 
     Examples
     ========
@@ -48,7 +50,7 @@
 
 
 def rank_by_capacity(subject: str, capacities: dict[str, float]) -> list[str]:
-    """The same, but processes of large machines go before all others.
+    """Rank processes as `rank_processes` does, but processes on large machines first.
 
     Examples
     ========
@@ -57,15 +59,22 @@
     'b'
     """
     largest = max(capacities.values(), default=0.0)
-    large = [name for name, one in capacities.items() if one >= LARGE_SHARE * largest]
+    large = [
+        name
+        for name, capacity in capacities.items()
+        if capacity >= LARGE_CAPACITY_FRACTION * largest
+    ]
     others = [name for name in capacities if name not in set(large)]
     return rank_processes(subject, large) + rank_processes(subject, others)
 
 
 def turn_delay_s(ranked: list[str], process: str) -> float:
-    """How long a process leaves a subject that nobody holds to those that rank before it."""
+    """Seconds that a process waits before it tries to acquire a vacant subject.
+
+    During this time the processes that rank before it can try.
+    """
     rank = ranked.index(process) if process in ranked else TURN_RANKS
     if rank < TURN_RANKS:
         return FIRST_TURN_S + TURN_STEP_S * rank
     last = FIRST_TURN_S + TURN_STEP_S * TURN_RANKS
-    return last + random.uniform(0.0, TURN_SPREAD_S)
+    return last + random.uniform(0.0, TURN_JITTER_S)
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -37,7 +37,7 @@
     Removal,
     WatchedStore,
 )
-from crankseam.coordination.watch_roles import Peer, WatchRoles, has_readers, roles_of
+from crankseam.coordination.watch_roles import Peer, WatchRoles, assign_roles, has_readers
 from crankseam.coordination.watch_times import WatchTimes, longest_answer_s
 from crankseam.errors import KeyValueError, KeyValueUnavailable
 
@@ -98,12 +98,12 @@
     # --- roles
 
     def _roles(self) -> WatchRoles:
-        return roles_of(self._processes(), self._process, self._is_passed_over)
+        return assign_roles(self._processes(), self._process, self._is_excluded)
 
     def _is_avoided(self, peer: Peer) -> bool:
         return self._avoided.is_avoided(peer.name, time.monotonic())
 
-    def _is_passed_over(self, peer: Peer) -> bool:
+    def _is_excluded(self, peer: Peer) -> bool:
         return self._is_avoided(peer) and self._avoided.has_failed_repeatedly(peer.name)
 
     def is_watcher(self) -> bool:
@@ -116,7 +116,7 @@
 
     def _pick_answerer(self, roles: WatchRoles) -> Peer | None:
         """One that may be asked now; None if the store itself is to be asked."""
-        found = [peer for peer in roles.askable() if not self._is_avoided(peer)]
+        found = [peer for peer in roles.feed_sources() if not self._is_avoided(peer)]
         return random.choice(found) if found else None
 
     # --- WatchedStore
--- a/src/crankseam/coordination/watch_roles.py
+++ b/src/crankseam/coordination/watch_roles.py
@@ -1,16 +1,19 @@
-"""Which processes watch the store for all, and whom do the others ask?
-
-Inputs: all living processes with the revisions at which they announced themselves first, and those
-that this process passes over, since they failed it twice in a row.
-Rule: the two that have been there longest watch the store. Where two could not answer all others,
-the next ones are mirrors: they ask the watchers, and answer readers as these do. All others are
-readers: they ask any of these, and the store itself when none answers.
-Protects: each waiting watch and each change that it sees is a priced and limited call of the store
-(17,574 -> 9,322 calls a day with 68 processes).
-Shown by: `watcher_avoided`. Held by: tests/coordination/test_watch_roles.py, test_shared_watch.py.
-
-Each process works this out from its own copy. Views that differ cost a call and no more: a process
-that has no role by its own view answers nobody, and an answer carries its age.
+"""Which processes watch the store, and from which of them the others learn of changes.
+
+Inputs: all live processes with the revisions at which they first announced themselves, and the
+processes that this process excludes because they failed to answer it twice in a row.
+Rule: the two processes that were announced first are the watchers; they watch the store. Where two
+watchers could not serve all other processes, the next ones are mirrors: they follow the watchers
+and serve readers as the watchers do. All others are readers: they ask any watcher or mirror, and
+call the store if none answers. Watchers and mirrors are the answerers.
+Purpose: each pending watch, and each change that it returns, is a call of the store that is charged
+for and limited in number (17,574 -> 9,322 calls a day with 68 processes).
+Logged as: `watcher_avoided`.
+Tested by: tests/coordination/test_watch_roles.py and tests/coordination/test_shared_watch.py.
+
+Each process computes the roles from its own copy of the list. If the copies differ, the only cost
+is an additional call: a process that is no answerer by its own copy refuses to answer, and each
+answer carries its age.
 """
 
 from __future__ import annotations
@@ -20,18 +23,20 @@
 from dataclasses import dataclass
 
 PROCESSES_PER_ANSWERER = 40
-"""A reader has three questions waiting: so many of them cost some 5 % of a slow core."""
+"""Maximum number of processes for each answerer. A reader has three requests pending at a time; the
+requests of this many readers use about 5 % of a slow CPU core."""
 WATCHERS = 2
-"""Each change costs each watcher a call; a second one is there for when the first is not. One of
-24 or 40 processes watched before: five at 165 processes, eleven at 420."""
-FEWEST_PROCESSES = 4
-"""Below this each process watches by itself: there is little to save. At nine processes two
-watchers made the price of calls smaller by 0.02 of worth."""
+"""Number of watchers. Each change costs one call of each watcher; the second watcher is there for
+when the first is unavailable. One watcher for every 40 processes would mean five watchers with 165
+processes, and eleven with 420."""
+MIN_PROCESSES_FOR_SHARING = 4
+"""With fewer processes each one watches the store, because sharing would save little: with nine
+processes, two watchers reduced the price of the calls by 0.02 of worth."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A process: its name and ``ip:port``, and when it first announced itself."""
+    """A process: its name, its address (``ip:port``) and the revision of its first announcement."""
 
     name: str
     address: str
@@ -40,15 +45,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRoles:
-    """Who watches the store, and who answers readers, as one process sees it.
+    """The watchers and the answerers according to one process.
 
     Attributes
     ==========
 
-    watchers : those that watch the store.
-    answerers : those that answer readers: the watchers first, then the mirrors.
-    is_watcher, is_answerer : whether this process is one; where nobody is known, each is both and
-        acts for itself.
+    watchers : the processes that watch the store.
+    answerers : the processes that answer readers: first the watchers, then the mirrors.
+    is_watcher, is_answerer : whether this process has the role. If no other process is eligible,
+        it has both roles and calls the store itself.
     """
 
     watchers: list[Peer]
@@ -56,16 +61,19 @@
     is_watcher: bool
     is_answerer: bool
 
-    def askable(self) -> list[Peer]:
-        """Those that this process may ask: a mirror asks watchers only, so that no two mirrors
-        follow each other, and a watcher nobody."""
+    def feed_sources(self) -> list[Peer]:
+        """The processes whose feed this process may follow.
+
+        A watcher follows no other process. A mirror follows only watchers, so that no two mirrors
+        follow each other.
+        """
         if self.is_watcher:
             return []
         return self.watchers if self.is_answerer else self.answerers
 
 
 def watcher_count(processes: int) -> int:
-    """How many of so many processes watch the store.
+    """Number of watchers among a number of processes.
 
     Examples
     ========
@@ -73,11 +81,11 @@
     >>> [watcher_count(n) for n in (3, 7, 68, 420)]
     [3, 2, 2, 2]
     """
-    return processes if processes < FEWEST_PROCESSES else WATCHERS
+    return processes if processes < MIN_PROCESSES_FOR_SHARING else WATCHERS
 
 
 def answerer_count(processes: int) -> int:
-    """How many of so many processes answer readers: watchers, and mirrors where they need help.
+    """Number of answerers among a number of processes: the watchers, and mirrors where necessary.
 
     Examples
     ========
@@ -89,26 +97,27 @@
 
 
 def has_readers(processes: int) -> bool:
-    """Whether some of so many processes rely on the watches of others."""
+    """Whether some of a number of processes follow the feed of another one."""
     return watcher_count(processes) < processes
 
 
-def roles_of(
-    processes: list[Peer], process: str, is_passed_over: Callable[[Peer], bool]
+def assign_roles(
+    processes: list[Peer], process: str, is_excluded: Callable[[Peer], bool]
 ) -> WatchRoles:
-    """The roles as the process of this name sees them.
+    """Assign the roles according to the process of the given name.
 
-    One that did not answer twice is passed over by each process that noticed, and the next watches
-    in its place: else all its readers would watch the store themselves meanwhile.
+    A process that failed to answer twice is excluded by each process that noticed, and the next one
+    watches in its place. Otherwise all its readers would watch the store themselves until it
+    answers again.
     """
-    longest_there = sorted(processes, key=lambda peer: (peer.revision, peer.name))
-    answering = [peer for peer in longest_there if not is_passed_over(peer)]
+    oldest_first = sorted(processes, key=lambda peer: (peer.revision, peer.name))
+    answering = [peer for peer in oldest_first if not is_excluded(peer)]
     watchers = answering[: watcher_count(len(processes))]
     answerers = answering[: answerer_count(len(processes))]
     return WatchRoles(
-        watchers, answerers, _is_among(watchers, process), _is_among(answerers, process)
+        watchers, answerers, _has_role(watchers, process), _has_role(answerers, process)
     )
 
 
-def _is_among(peers: list[Peer], process: str) -> bool:
+def _has_role(peers: list[Peer], process: str) -> bool:
     return not peers or any(peer.name == process for peer in peers)
--- a/tests/coordination/test_ranking.py
+++ b/tests/coordination/test_ranking.py
@@ -3,7 +3,7 @@
 
 from crankseam.coordination.presence import DEFAULT_CAPACITY, decode_presence, encode_presence
 from crankseam.coordination.ranking import (
-    LARGE_SHARE,
+    LARGE_CAPACITY_FRACTION,
     TURN_RANKS,
     rank_by_capacity,
     rank_processes,
@@ -19,7 +19,9 @@
 def test_large_machines_come_first_and_nobody_is_left_out(capacities):
     ranked = rank_by_capacity("m", capacities)
     assert sorted(ranked) == sorted(capacities)
-    is_large = [capacities[name] >= LARGE_SHARE * max(capacities.values()) for name in ranked]
+    is_large = [
+        capacities[name] >= LARGE_CAPACITY_FRACTION * max(capacities.values()) for name in ranked
+    ]
     assert is_large == sorted(is_large, reverse=True)
 
 
--- a/tests/coordination/test_watch_roles.py
+++ b/tests/coordination/test_watch_roles.py
@@ -7,8 +7,8 @@
     WATCHERS,
     Peer,
     answerer_count,
+    assign_roles,
     has_readers,
-    roles_of,
     watcher_count,
 )
 
@@ -19,15 +19,15 @@
     return [Peer(f"p{number:03d}", f"a{number}", 1000 + number) for number in range(count)]
 
 
-def roles(count, process, passed_over=NOBODY):
-    return roles_of(peers(count), process, lambda peer: peer.name in passed_over)
+def roles(count, process, excluded=NOBODY):
+    return assign_roles(peers(count), process, lambda peer: peer.name in excluded)
 
 
 @given(st.integers(1, 1000))
 def test_watchers_are_few_and_never_more_than_there_are_processes(processes):
     count = watcher_count(processes)
     assert 1 <= count <= processes
-    assert count == processes or count == WATCHERS, "a change costs the same at any size"
+    assert count == processes or count == WATCHERS, "the cost of a change must not grow"
     answerers = answerer_count(processes)
     assert count <= answerers <= processes
     assert processes / answerers <= PROCESSES_PER_ANSWERER
@@ -35,18 +35,18 @@
 
 def test_those_that_have_been_there_longest_watch_whoever_works_it_out():
     known = peers(100)
-    seen = [roles_of(known[::step], "p099", lambda peer: False) for step in (1, -1)]
+    seen = [assign_roles(known[::step], "p099", lambda peer: False) for step in (1, -1)]
     assert seen[0] == seen[1]
     assert [peer.name for peer in seen[0].watchers] == ["p000", "p001"]
     assert [peer.name for peer in seen[0].answerers] == ["p000", "p001", "p002"]
 
 
 @pytest.mark.parametrize(
-    ("process", "askable"),
+    ("process", "feed_sources"),
     [("p000", []), ("p002", ["p000", "p001"]), ("p050", ["p000", "p001", "p002"])],
 )
-def test_a_watcher_asks_nobody_and_a_mirror_watchers_only(process, askable):
-    assert [peer.name for peer in roles(100, process).askable()] == askable
+def test_a_watcher_asks_nobody_and_a_mirror_watchers_only(process, feed_sources):
+    assert [peer.name for peer in roles(100, process).feed_sources()] == feed_sources
 
 
 def test_the_next_process_watches_in_place_of_one_that_is_passed_over():
@@ -54,10 +54,10 @@
     assert [peer.name for peer in seen.watchers] == ["p001", "p002"] and seen.is_watcher
 
 
-@pytest.mark.parametrize("passed_over", [NOBODY, {"p000", "p001", "p002"}])
-def test_where_nobody_is_known_each_acts_for_itself(passed_over):
-    seen = roles(3 if passed_over else 0, "p000", passed_over)
-    assert seen.is_watcher and seen.is_answerer and seen.askable() == []
+@pytest.mark.parametrize("excluded", [NOBODY, {"p000", "p001", "p002"}])
+def test_where_nobody_is_known_each_acts_for_itself(excluded):
+    seen = roles(3 if excluded else 0, "p000", excluded)
+    assert seen.is_watcher and seen.is_answerer and seen.feed_sources() == []
 
 
 @pytest.mark.parametrize(("processes", "expected"), [(0, False), (3, False), (4, True)])
