--- a/src/crankseam/coordination/relay_messages.py
+++ b/src/crankseam/coordination/relay_messages.py
@@ -1,6 +1,7 @@
-"""One call of the store's interface as a message between two processes, and what came of it.
+"""Messages by which a process makes a store call through a peer.
 
-The wire carries the field names, the names of the calls and those of the errors: they stay.
+The field names, the names of the calls and the names of the error classes are part of the wire
+format and must not change.
 """
 
 from __future__ import annotations
@@ -36,16 +37,18 @@
         HistoryCompacted,
     )
 }
-"""Errors without fields, by the name under which they travel."""
+"""Error classes without fields, by their names on the wire."""
 
 
 class RelayCall(msgspec.Struct, frozen=True):
-    """One call of the store's interface; only the fields of its kind are used.
+    """A call of the `CoordinationStore` interface; each kind of call uses only some of the fields.
 
     Attributes
     ==========
 
-    wait, duration : seconds.
+    name : name of the method.
+    key : key, or prefix of a page or a watch.
+    wait, duration : in seconds.
     """
 
     name: str
@@ -61,14 +64,15 @@
 
 
 class RelayAnswer(msgspec.Struct, frozen=True):
-    """What the store answered the peer.
+    """The result of a `RelayCall`.
 
     Attributes
     ==========
 
-    error : name of the failure's type; empty where the call succeeded.
-    entries : what was read; of a conflict, the keys of its conditions that exist.
-    duration : seconds.
+    error : name of the error class; empty if the call succeeded.
+    entries : the entries that were read; after a TransactionConflict, the current entries of the
+        keys that its conditions name.
+    duration : in seconds.
     """
 
     error: str = ""
@@ -81,7 +85,7 @@
 
 
 async def perform(store: CoordinationStore, call: RelayCall) -> RelayAnswer:
-    """Make a call; every failure of the store becomes part of the answer."""
+    """Make a call; an error of the store is returned as part of the answer."""
     try:
         return await _perform(store, call)
     except TransactionConflict as conflict:
@@ -119,7 +123,7 @@
 
 
 def raise_error(answer: RelayAnswer) -> None:
-    """Raise the failure that an answer tells of, if it tells of one."""
+    """Raise the error that an answer contains, if any."""
     if answer.error == TransactionConflict.__name__:
         raise TransactionConflict({entry.key: entry for entry in answer.entries})
     if answer.error:
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -38,7 +38,7 @@
     WatchedStore,
 )
 from crankseam.coordination.watch_roles import Peer, WatchRoles, assign_roles, has_readers
-from crankseam.coordination.watch_times import WatchTimes, longest_answer_s
+from crankseam.coordination.watch_times import WatchTimes, answer_timeout_s
 from crankseam.errors import KeyValueError, KeyValueUnavailable
 
 log = logging.getLogger(__name__)
@@ -184,7 +184,7 @@
             raw = await self._ask(
                 peer.address,
                 msgspec.msgpack.encode(question),
-                longest_answer_s(question.wait_s),
+                answer_timeout_s(question.wait_s),
             )
             answer = msgspec.msgpack.decode(raw, type=FeedAnswer)
         except (KeyValueError, msgspec.DecodeError) as error:
--- a/tests/coordination/test_watch_times.py
+++ b/tests/coordination/test_watch_times.py
@@ -2,13 +2,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankseam.coordination.watch_times import SHORTEST_WATCH_S, WatchTimes, longest_answer_s
+from crankseam.coordination.watch_times import MIN_WATCH_S, WatchTimes, answer_timeout_s
 
 
 @given(st.floats(1.2, 30.0))
 def test_a_stale_watch_and_a_question_to_a_silent_process_fit_the_time(in_force_s):
     times = WatchTimes.within(in_force_s)
-    assert times.reader_watch_s + longest_answer_s(times.fresh_s) < in_force_s
+    assert times.reader_watch_s + answer_timeout_s(times.fresh_s) < in_force_s
     assert times.watcher_watch_s < in_force_s
 
 
@@ -16,7 +16,7 @@
 def test_the_ages_of_a_mirrors_answers_add_up_to_less_than_a_feed_is_fresh(in_force_s):
     times = WatchTimes.within(in_force_s)
     assert 3 * times.mirror_wait_s < times.fresh_s < in_force_s
-    assert times.reader_watch_s >= SHORTEST_WATCH_S
+    assert times.reader_watch_s >= MIN_WATCH_S
 
 
 def test_the_times_of_a_bound_of_two_seconds():
