--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -1,9 +1,9 @@
-"""Few processes watch the store; the others ask those.
+"""Watches of the store that few processes make and that all other processes share.
 
-Owns which watchers did not answer this process lately. Relies on the way to the store, on the list
-of living processes, and on this process's own followers, whose feeds it serves to others. Who
-watches and who is asked is decided in `crankseam.coordination.watch_roles`, for how long in
-`crankseam.coordination.watch_times`. Whatever a peer does not answer is asked of the store itself.
+Each process serves the feeds of its own followers to other processes, and records which peers
+recently failed to answer it. The roles of the processes are assigned in
+`crankseam.coordination.watch_roles`, and the durations of watches and requests are computed in
+`crankseam.coordination.watch_times`. If no peer answers a request, the store is called instead.
 """
 
 from __future__ import annotations
@@ -43,33 +43,35 @@
 
 log = logging.getLogger(__name__)
 
-AVOID_S = 2.0
-"""A watcher that did not answer is not asked again for so long, and twice as long each time after
-that. From the second time on, the process that comes next watches in its place: with 25 of 71
-processes refused by the store, 9,452 -> 7,994 calls a day, worth 0.67 -> 0.79."""
-LONGEST_AVOID_S = 16.0
-"""The most to which that time grows; set with the doubling, origin of the figure not recorded."""
+INITIAL_AVOID_S = 2.0
+"""A peer that did not answer is avoided for this long, and after each further failure for twice as
+long as before. From the second failure on, the next process takes over its role: with 25 of 71
+processes refused by the store, this reduced the calls from 9,452 to 7,994 a day, and raised the
+worth from 0.67 to 0.79."""
+MAX_AVOID_S = 16.0
+"""Upper limit of this period."""
 
 
 class PeerAsker(Protocol):
-    """Sends a question to a peer's address and returns its answer within so many seconds."""
+    """Sends a request to the address of a peer and returns its answer within a time limit."""
 
-    async def __call__(self, address: str, body: bytes, longest_s: float) -> bytes:
-        """Raise a KeyValueError if no answer came."""
+    async def __call__(self, address: str, body: bytes, timeout_s: float) -> bytes:
+        """Raise a KeyValueError if no answer arrives within ``timeout_s`` seconds."""
 
 
 class SharedWatches:
-    """See WatchedStore; asks a watcher where there is one, else the store.
+    """A WatchedStore that asks a watcher or a mirror if one is available, else the store.
 
     Parameters
     ==========
 
-    store : the way to the store itself.
-    processes : all living processes of the deployment, this one among them.
-    process : this process's name.
-    ask : sends a question to a peer.
-    in_force_s : seconds within which a change must be in force at a process.
-    answered_at : when the newest call was sent that the store answered this process directly.
+    store : the client with which this process calls the store.
+    processes : returns all live processes of the deployment, including this one.
+    process : name of this process.
+    ask : sends a request to a peer.
+    in_force_s : bound in seconds within which a change must be in force at every process.
+    answered_at : returns when the latest call was sent that the store answered to this process
+        directly.
     """
 
     def __init__(
@@ -88,10 +90,10 @@
         self._times = WatchTimes.within(in_force_s)
         self._answered_at = answered_at
         self._followers: dict[str, PrefixFollower] = {}
-        self._avoided = AvoidedPeers(AVOID_S, LONGEST_AVOID_S)
+        self._avoided = AvoidedPeers(INITIAL_AVOID_S, MAX_AVOID_S)
 
     def share(self, follower: PrefixFollower) -> None:
-        """Let others follow what a follower of this process takes."""
+        """Attach a feed to a follower, through which other processes can follow its prefix."""
         follower.feed = PrefixFeed(self._times.fresh_s, self._answered_at)
         self._followers[follower.prefix] = follower
 
@@ -111,13 +113,13 @@
         return self._roles().is_watcher
 
     def is_answerer(self) -> bool:
-        """Whether this process answers others: it is a watcher or a mirror."""
+        """Whether this process is a watcher or a mirror, and so answers readers."""
         return self._roles().is_answerer
 
     def _pick_answerer(self, roles: WatchRoles) -> Peer | None:
-        """One that may be asked now; None if the store itself is to be asked."""
-        found = [peer for peer in roles.feed_sources() if not self._is_avoided(peer)]
-        return random.choice(found) if found else None
+        """Pick a random process to ask; None if the store must be called instead."""
+        available = [peer for peer in roles.feed_sources() if not self._is_avoided(peer)]
+        return random.choice(available) if available else None
 
     # --- WatchedStore
 
@@ -126,60 +128,68 @@
         return await self._store.get(key)
 
     async def page(self, prefix: str, after_key: str = "") -> Page:
-        """See WatchedStore; who answers gives the whole prefix at once."""
+        """See WatchedStore; a watcher or mirror returns the whole prefix as one page."""
         answerer = self._pick_answerer(self._roles()) if not after_key else None
         if answerer is not None:
-            answer = await self._try(answerer, FeedQuestion(prefix, -1, 0.0))
-            if answer is not None and not answer.refusal and not self._is_older(prefix, answer):
-                changes = await self._whole(answer)
-                entries = [one for one in changes.changes if isinstance(one, Entry)]
+            answer = await self._ask_peer(answerer, FeedQuestion(prefix, -1, 0.0))
+            if (
+                answer is not None
+                and not answer.refusal
+                and not self._is_behind_own_copy(prefix, answer)
+            ):
+                changes = await self._complete_changes(answer)
+                entries = [change for change in changes.changes if isinstance(change, Entry)]
                 return Page(entries, False, answer.revision, answer.age_s)
         return await self._store.page(prefix, after_key)
 
-    def _is_older(self, prefix: str, answer: FeedAnswer) -> bool:
-        """Whether an answer lags behind this process's own copy: what it lacks is not gone."""
+    def _is_behind_own_copy(self, prefix: str, answer: FeedAnswer) -> bool:
+        """Whether an answer is older than the copy of this process.
+
+        Keys that such an answer lacks may have been created since, so they must not be removed
+        from the copy.
+        """
         follower = self._followers.get(prefix)
         return follower is not None and answer.revision < follower.revision
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
         """See WatchedStore.
 
-        One process is asked at most: the store itself is the next, so that two silent ones do not
-        add up.
+        At most one process is asked before the store is called, so that the timeouts of two
+        processes that do not answer do not add up.
         """
         roles = self._roles()
         if roles.is_watcher:
-            return await self._watch_for_all(prefix, after_revision, wait_s)
+            return await self._watch_as_watcher(prefix, after_revision, wait_s)
         answerer = self._pick_answerer(roles)
         if answerer is not None:
             wait_s = self._times.mirror_wait_s if roles.is_answerer else self._times.fresh_s
             question = FeedQuestion(prefix, after_revision, wait_s)
-            answer = await self._try(answerer, question)
+            answer = await self._ask_peer(answerer, question)
             if answer is not None and answer.refusal == REFUSED_COMPACTED:
                 raise HistoryCompacted(prefix)
             if answer is not None:
-                return await self._whole(answer)
+                return await self._complete_changes(answer)
         return await self._store.watch(
             prefix, after_revision, min(wait_s, self._times.reader_watch_s)
         )
 
-    async def _watch_for_all(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
-        """Watch the store; not so long while others rely on it.
+    async def _watch_as_watcher(self, prefix: str, after_revision: int, wait_s: float) -> Changes:
+        """Watch the store itself, with a shorter wait if this process has readers.
 
-        The store answers a watch without changes only when its wait is over, so such an answer
-        holds for that time after it was asked for.
+        The store answers a watch without changes only at the end of its wait, so such an answer
+        confirms the state up to that time after the request.
         """
         if not has_readers(len(self._processes())):
             return await self._store.watch(prefix, after_revision, wait_s)
         wait_s = min(wait_s, self._times.watcher_watch_s)
-        asked_at = clocks.promised_s()
+        requested_at = clocks.promised_s()
         seen = await self._store.watch(prefix, after_revision, wait_s)
         if seen.changes:
             return seen
-        return replace(seen, age_s=-min(wait_s, clocks.promised_s() - asked_at))
+        return replace(seen, age_s=-min(wait_s, clocks.promised_s() - requested_at))
 
-    async def _try(self, peer: Peer, question: FeedQuestion) -> FeedAnswer | None:
-        """Ask one watcher or mirror; None if it is of no use now."""
+    async def _ask_peer(self, peer: Peer, question: FeedQuestion) -> FeedAnswer | None:
+        """Ask a watcher or mirror; None if it failed or is unable to answer now."""
         try:
             raw = await self._ask(
                 peer.address,
@@ -188,23 +198,23 @@
             )
             answer = msgspec.msgpack.decode(raw, type=FeedAnswer)
         except (KeyValueError, msgspec.DecodeError) as error:
-            self._avoid(peer, type(error).__name__)
+            self._record_failure(peer, type(error).__name__)
             return None
         if answer.refusal == REFUSED_UNAVAILABLE:
-            self._avoid(peer, answer.refusal)
+            self._record_failure(peer, answer.refusal)
             return None
         self._avoided.answered(peer.name)
         return answer
 
-    def _avoid(self, peer: Peer, reason: str) -> None:
-        # Questions of several followers that fail together are one failure.
+    def _record_failure(self, peer: Peer, reason: str) -> None:
+        # Requests of several followers that fail at the same time count as one failure.
         if self._is_avoided(peer):
             return
         self._avoided.avoid(peer.name, time.monotonic())
         log.info("watcher_avoided", extra={"peer": peer.name, "error": reason})
 
-    async def _whole(self, answer: FeedAnswer) -> Changes:
-        """An answer's changes in order, with large values from the store."""
+    async def _complete_changes(self, answer: FeedAnswer) -> Changes:
+        """The changes of an answer in order, with large values read from the store."""
         changes: list[Entry | Removal] = [*answer.entries, *answer.removals]
         for key in answer.large:
             entry = await self._store.get(key)
@@ -213,10 +223,10 @@
         changes.sort(key=lambda change: change.revision)
         return Changes(changes, answer.revision, answer.age_s)
 
-    # --- answering readers
+    # --- serving readers
 
     async def serve(self, raw: bytes) -> bytes:
-        """Answer a reader's question from this process's own followers."""
+        """Answer the request of a reader from the feeds of this process."""
         question = msgspec.msgpack.decode(raw, type=FeedQuestion)
         try:
             answer = await self._answer(question)
--- a/tests/coordination/test_frozen_peers.py
+++ b/tests/coordination/test_frozen_peers.py
@@ -1,15 +1,15 @@
-"""A change must be in force at every front in time, whoever is frozen and whatever is drawn.
-
-What happens: the store refuses a front, or was away for all, while some of its peers are frozen.
-The front asks a frozen watcher, then reaches the store through a frozen peer, and then pauses for
-as long as its failures in a row allow, although the store serves it again. Each of them is drawn,
-so that it took a change 0.9 s late in one play and 2.5 s late in another, of 2.0 s allowed.
-What showed it: on mbf-depot trouble-3 the log of a front has `follow_failed`
-(KeyValueOutcomeUnknown, 1.1 s after the store was back), then nothing for 0.97 s, then
-`configuration_taken`; another front asked a frozen peer when its own way opened.
-
-Here every draw is the worst one: frozen peers first, the longest pauses, each moment of the change.
-It runs on a clock of its own.
+"""A change must be in force at every front in time, even if some of its peers are frozen.
+
+Failure: the store refuses a front, or was down for all, while some peers are frozen. The front asks
+a frozen watcher, then calls the store through a frozen peer, and then waits for its retry delay,
+although the store serves it again. The peers and the delays are random: with 2.0 s allowed, a
+change was 0.9 s late in one run and 2.5 s late in another.
+Symptom: the log of a front has `follow_failed` (KeyValueOutcomeUnknown, 1.1 s after the store was
+back), then no entry for 0.97 s, then `configuration_taken`; another front asked a frozen peer when
+its direct route worked again.
+
+The tests replace each random choice by the worst one: frozen peers first, the longest delays, and
+each time of the change in turn. They run on a virtual clock.
 """
 
 import asyncio
@@ -30,15 +30,15 @@
 from tests.support.virtual_clock import VirtualClockLoop
 
 IN_FORCE_S = 2.0
-"""The aim: a change is in force at each front so long after its acknowledgement."""
+"""Bound within which an acknowledged change must be in force at each front."""
 CONTACT_S = 3.0
-"""The aim counts for fronts that the store has served for so long."""
+"""The bound applies to fronts that the store has served for this long."""
 PROCESSES = 7
 LAST = f"p{PROCESSES - 1:02d}"
 
 
-class OwnWay:
-    """One process's own way to the store: open, refusing, or silent."""
+class DirectStoreClient:
+    """The store client of one process; its state is open, refusing or silent."""
 
     def __init__(self, store):
         self._store = store
@@ -58,20 +58,20 @@
 
 
 class Fleet:
-    """Processes that follow one prefix, each by its own way, by watchers and through peers."""
+    """Processes that follow one prefix: directly, through watchers, and through peers."""
 
     def __init__(self):
         self.store = MemoryStore()
         self.peers = [Peer(f"p{n:02d}", f"p{n:02d}", n) for n in range(PROCESSES)]
         self.frozen = set()
-        self.ways = {peer.name: OwnWay(self.store) for peer in self.peers}
+        self.clients = {peer.name: DirectStoreClient(self.store) for peer in self.peers}
         self.relays, self.watches, self.followers = {}, {}, {}
         for peer in self.peers:
             self._add(peer.name)
 
     def _add(self, name):
         others = [peer.name for peer in self.peers if peer.name != name]
-        relay = RelayedStore(self.ways[name], lambda: others, self.call_relay)
+        relay = RelayedStore(self.clients[name], lambda: others, self.call_relay)
         watches = SharedWatches(
             relay,
             lambda: self.peers,
@@ -88,26 +88,26 @@
         self.relays[name], self.watches[name] = relay, watches
         self.followers[name] = follower
 
-    async def call_relay(self, address, raw, longest_s):
-        return await self._call(address, self.relays[address].serve(raw), longest_s)
+    async def call_relay(self, address, raw, timeout_s):
+        return await self._call(address, self.relays[address].serve(raw), timeout_s)
 
-    async def call_watches(self, address, raw, longest_s):
-        return await self._call(address, self.watches[address].serve(raw), longest_s)
+    async def call_watches(self, address, raw, timeout_s):
+        return await self._call(address, self.watches[address].serve(raw), timeout_s)
 
-    async def _call(self, address, answer, longest_s):
+    async def _call(self, address, answer, timeout_s):
         if address in self.frozen:
             answer.close()
-            await asyncio.sleep(longest_s)
+            await asyncio.sleep(timeout_s)
             raise KeyValueOutcomeUnknown("silent")
         await asyncio.sleep(0.001)
         try:
-            return await asyncio.wait_for(answer, longest_s)
+            return await asyncio.wait_for(answer, timeout_s)
         except TimeoutError as error:
             raise KeyValueOutcomeUnknown("silent") from error
 
-    def set_ways(self, state, *names):
-        for name in names or self.ways:
-            self.ways[name].state = state
+    def set_client_states(self, state, *names):
+        for name in names or self.clients:
+            self.clients[name].state = state
 
     @asynccontextmanager
     async def following(self):
@@ -133,10 +133,10 @@
 
 
 @pytest.fixture
-def play(monkeypatch):
-    """Plays a story on a clock of its own, with the worst draws."""
+def run_scenario(monkeypatch):
+    """Runs a scenario on a virtual clock, with the worst random choices."""
 
-    def run(story):
+    def run(scenario):
         loop = VirtualClockLoop()
         fleet = Fleet()
         monkeypatch.setattr(time, "monotonic", loop.time)
@@ -149,7 +149,7 @@
 
         async def whole():
             async with fleet.following():
-                return await story(fleet)
+                return await scenario(fleet)
 
         try:
             return loop.run_until_complete(whole())
@@ -161,49 +161,51 @@
     return run
 
 
-MOMENTS_S = [0.1 * tenth for tenth in range(31)]
+CHANGE_DELAYS_S = [0.1 * tenth for tenth in range(31)]
 
 
 @pytest.mark.parametrize("frozen", [{"p00", "p01"}, {"p00", "p01", "p02"}, {"p00", "p02", "p03"}])
-def test_a_front_that_the_store_refuses_takes_a_change_in_time_beside_frozen_peers(play, frozen):
+def test_a_front_that_the_store_refuses_takes_a_change_in_time_beside_frozen_peers(
+    run_scenario, frozen
+):
     late = {}
-    for moment_s in MOMENTS_S:
+    for change_delay_s in CHANGE_DELAYS_S:
 
-        async def story(fleet, moment_s=moment_s):
-            fleet.set_ways("refusing", LAST)
+        async def scenario(fleet, change_delay_s=change_delay_s):
+            fleet.set_client_states("refusing", LAST)
             await asyncio.sleep(5.0)
             fleet.frozen = set(frozen)
-            await asyncio.sleep(moment_s)
+            await asyncio.sleep(change_delay_s)
             await fleet.change()
             return await fleet.seconds_until_taken(LAST)
 
-        taken_s = play(story)
+        taken_s = run_scenario(scenario)
         if taken_s > IN_FORCE_S:
-            late[round(moment_s, 1)] = round(taken_s, 2)
+            late[round(change_delay_s, 1)] = round(taken_s, 2)
     assert not late, f"seconds by moment of the change: {late}"
 
 
 @pytest.mark.parametrize("outage", ["refusing", "silent"])
 @pytest.mark.parametrize("frozen", [{"p00"}, {"p00", "p01"}, {"p01", "p02", "p03"}])
 def test_after_an_outage_for_all_a_change_is_taken_in_time_beside_frozen_peers(
-    play, frozen, outage
+    run_scenario, frozen, outage
 ):
     late = {}
-    for moment_s in MOMENTS_S:
+    for change_delay_s in CHANGE_DELAYS_S:
 
-        async def story(fleet, moment_s=moment_s):
-            fleet.set_ways(outage)
+        async def scenario(fleet, change_delay_s=change_delay_s):
+            fleet.set_client_states(outage)
             await asyncio.sleep(4.0)
             fleet.frozen = set(frozen)
             await asyncio.sleep(0.7)
-            fleet.set_ways("open")
-            await asyncio.sleep(moment_s)
+            fleet.set_client_states("open")
+            await asyncio.sleep(change_delay_s)
             await fleet.change()
-            live = [name for name in fleet.ways if name not in frozen]
+            live = [name for name in fleet.clients if name not in frozen]
             return max([await fleet.seconds_until_taken(name) for name in live])
 
-        taken_s = play(story)
-        allowed_s = max(IN_FORCE_S, CONTACT_S - moment_s)
+        taken_s = run_scenario(scenario)
+        allowed_s = max(IN_FORCE_S, CONTACT_S - change_delay_s)
         if taken_s > allowed_s:
-            late[round(moment_s, 1)] = round(taken_s, 2)
+            late[round(change_delay_s, 1)] = round(taken_s, 2)
     assert not late, f"seconds by moment of the change: {late}"
--- a/tests/coordination/test_shared_watch.py
+++ b/tests/coordination/test_shared_watch.py
@@ -25,17 +25,17 @@
 from tests.support.waiting import eventually
 
 
-class Way:
-    """One process's way to the shared store; counts its calls, and can fail by itself."""
+class FaultyStoreClient:
+    """The client of one process for the shared store; counts calls, and can fail on its own."""
 
     def __init__(self, store):
         self._store = store
         self.calls = 0
         self.down = False
-        self.silent_since = float("inf")
+        self.unanswered_since = float("inf")
 
     def answered_at(self):
-        return float("-inf") if self.down else min(time.monotonic(), self.silent_since)
+        return float("-inf") if self.down else min(time.monotonic(), self.unanswered_since)
 
     def __getattr__(self, name):
         async def call(*arguments):
@@ -48,28 +48,28 @@
 
 
 class Fleet:
-    """Processes that follow one prefix of one store."""
+    """Several processes that follow the same prefix of one store."""
 
     def __init__(self, count, in_force_s=1.0):
         self.store = MemoryStore()
         self.peers = [Peer(f"p{number:02d}", f"a{number}", number) for number in range(count)]
         self.silent = set()
-        self.ways, self.watches, self.followers = [], [], []
+        self.clients, self.watches, self.followers = [], [], []
         for peer in self.peers:
-            way = Way(self.store)
+            client = FaultyStoreClient(self.store)
             watches = SharedWatches(
-                way, lambda: self.peers, peer.name, self.ask, in_force_s, way.answered_at
+                client, lambda: self.peers, peer.name, self.ask, in_force_s, client.answered_at
             )
             follower = PrefixFollower(watches, "a/", lambda key, entry: None, 5.0)
             watches.share(follower)
-            self.ways.append(way)
+            self.clients.append(client)
             self.watches.append(watches)
             self.followers.append(follower)
 
-    async def ask(self, address, body, longest_s):
+    async def ask(self, address, body, timeout_s):
         number = int(address[1:])
         if number in self.silent:
-            await asyncio.sleep(longest_s)
+            await asyncio.sleep(timeout_s)
             raise KeyValueOutcomeUnknown("silent")
         return await self.watches[number].serve(body)
 
@@ -96,15 +96,18 @@
 
 async def test_changes_reach_all_while_few_call_the_store():
     async with Fleet(20).following() as fleet:
-        await eventually(lambda: all(way.calls for way in fleet.ways[:2]))
-        before = [way.calls for way in fleet.ways]
+        await eventually(lambda: all(client.calls for client in fleet.clients[:2]))
+        before = [client.calls for client in fleet.clients]
         for number in range(10):
             await fleet.put(f"a/{number}")
             await eventually(lambda number=number: fleet.have(f"a/{number}"))
         await fleet.store.commit(Transaction(removals=["a/3"]))
         await eventually(lambda: not any("a/3" in one.entries for one in fleet.followers))
-        assert [way.calls for way in fleet.ways][2:] == before[2:]
-        assert all(way.calls > calls for way, calls in zip(fleet.ways[:2], before[:2], strict=True))
+        assert [client.calls for client in fleet.clients][2:] == before[2:]
+        assert all(
+            client.calls > calls
+            for client, calls in zip(fleet.clients[:2], before[:2], strict=True)
+        )
 
 
 async def test_mirrors_answer_where_there_are_many_and_do_not_call_the_store(monkeypatch):
@@ -112,22 +115,24 @@
     async with Fleet(20).following() as fleet:
         mirrors = [one for one in fleet.watches if one.is_answerer() and not one.is_watcher()]
         assert [one._process for one in mirrors] == ["p02", "p03"]
-        before = [way.calls for way in fleet.ways]
+        before = [client.calls for client in fleet.clients]
         asked = set()
         ask = fleet.ask
 
-        async def noted(address, body, longest_s):
+        async def recording_ask(address, body, timeout_s):
             asked.add(address)
-            return await ask(address, body, longest_s)
+            return await ask(address, body, timeout_s)
 
         for watches in fleet.watches:
-            watches._ask = noted
+            watches._ask = recording_ask
         for number in range(10):
             await fleet.put(f"a/{number}")
             await eventually(lambda number=number: fleet.have(f"a/{number}"))
         await asyncio.sleep(1.0)
-        assert asked == {"a0", "a1", "a2", "a3"}, "watchers and mirrors share the readers"
-        assert [way.calls for way in fleet.ways][2:] == before[2:], "also when nothing changes"
+        assert asked == {"a0", "a1", "a2", "a3"}, "both watchers and mirrors must serve readers"
+        assert [client.calls for client in fleet.clients][2:] == before[2:], (
+            "no calls to the store without changes either"
+        )
 
 
 async def test_readers_of_a_mirror_whose_watchers_are_silent_learn_in_time(monkeypatch):
@@ -147,7 +152,7 @@
 
 async def test_readers_of_a_watcher_that_lost_the_store_turn_to_the_store():
     async with Fleet(20, in_force_s=0.3).following() as fleet:
-        fleet.ways[0].down = fleet.ways[1].down = True
+        fleet.clients[0].down = fleet.clients[1].down = True
         await fleet.put("a/new")
         others = fleet.followers[2:]
         await eventually(lambda: all("a/new" in follower.entries for follower in others))
@@ -160,18 +165,18 @@
         fleet.followers[0].feed.restart(fleet.store.revision + 5, asyncio.get_running_loop().time())
         with pytest.raises(HistoryCompacted):
             fleet.followers[0].feed.after(fleet.store.revision)
-        calls = fleet.ways[5].calls
+        calls = fleet.clients[5].calls
         entries, _ = await read_prefix(fleet.watches[5], "a/")
-        assert [entry.key for entry in entries] == ["a/old"] and fleet.ways[5].calls == calls
+        assert [entry.key for entry in entries] == ["a/old"] and fleet.clients[5].calls == calls
 
 
 async def test_large_values_come_from_the_store(monkeypatch):
     monkeypatch.setattr(feed_messages, "LARGE_VALUE_BYTES", 10)
     async with Fleet(20).following() as fleet:
-        calls = fleet.ways[5].calls
+        calls = fleet.clients[5].calls
         await fleet.put("a/large", b"y" * 11)
         await eventually(lambda: fleet.have("a/large", b"y" * 11))
-        assert fleet.ways[5].calls == calls + 1
+        assert fleet.clients[5].calls == calls + 1
 
 
 async def test_a_process_that_is_no_watcher_answers_nobody():
@@ -199,22 +204,22 @@
 
 
 async def test_a_lagging_watcher_takes_nothing_back(monkeypatch):
-    """A reader that must read all again does not forget what a watcher has not seen yet."""
+    """A reader that reads the prefix again must not drop keys that a watcher does not have yet."""
     async with Fleet(20).following() as fleet:
         await fleet.put("a/old")
         await eventually(lambda: fleet.have("a/old"))
         reader = fleet.followers[5]
         reader.revision += 5
-        pages = fleet.ways[5].calls
+        pages = fleet.clients[5].calls
         entries, revision = await read_prefix(fleet.watches[5], "a/")
-        assert fleet.ways[5].calls > pages, "the store was asked"
+        assert fleet.clients[5].calls > pages, "the store must be called"
 
 
 async def test_the_age_of_an_answer_is_passed_on():
     async with Fleet(20, in_force_s=100.0).following() as fleet:
         fleet.store.faults.deaf = True
-        for way in fleet.ways:
-            way.silent_since = time.monotonic()
+        for client in fleet.clients:
+            client.unanswered_since = time.monotonic()
         page = await fleet.watches[5].page("a/")
         while page.age_s < 0.1:
             await asyncio.sleep(0.01)
@@ -223,7 +228,7 @@
 
 
 async def test_an_empty_watch_holds_for_as_long_as_it_waited(monkeypatch):
-    """Else a watcher's word would run out just before each of its watches ends."""
+    """Otherwise the feed of a watcher would become stale just before each of its watches ends."""
     clock = [100.0]
 
     class Store:
@@ -234,13 +239,15 @@
     peers = [Peer(f"p{number:02d}", f"a{number}", number) for number in range(20)]
     watches = SharedWatches(Store(), lambda: peers, "p00", None, 1.0, lambda: float("-inf"))
     monkeypatch.setattr(clocks, "promised_s", lambda: clock[0])
-    longest_s = watch_times.WATCH_FRACTION
-    assert (await watches.watch("a/", 6, 5.0)).age_s == pytest.approx(-longest_s)
-    assert (await watches.watch("a/", 0, 5.0)).age_s == 0.0, "changes may have come at once"
+    timeout_s = watch_times.WATCH_FRACTION
+    assert (await watches.watch("a/", 6, 5.0)).age_s == pytest.approx(-timeout_s)
+    assert (await watches.watch("a/", 0, 5.0)).age_s == 0.0, (
+        "changes may have been returned at once"
+    )
 
 
 async def test_a_waiting_watch_keeps_a_feed_fresh_while_the_store_answers_other_calls():
-    """Else a watcher would have to ask anew all the time, each time for a price."""
+    """Otherwise a watcher would have to repeat its watch constantly, and each call costs money."""
     loop = asyncio.get_running_loop()
     answered_at = [loop.time()]
     feed = PrefixFeed(max_age_s=0.2, answered_at=lambda: answered_at[0])
@@ -267,18 +274,19 @@
 
 
 async def test_the_next_processes_watch_in_place_of_watchers_that_do_not_answer(monkeypatch):
-    """Else all readers would watch the store themselves for as long as those are out of reach."""
-    monkeypatch.setattr(shared_watch, "AVOID_S", 0.2)
-    monkeypatch.setattr(shared_watch, "LONGEST_AVOID_S", 1000.0)
+    """Otherwise all readers would watch the store themselves until the watchers answer again."""
+    monkeypatch.setattr(shared_watch, "INITIAL_AVOID_S", 0.2)
+    monkeypatch.setattr(shared_watch, "MAX_AVOID_S", 1000.0)
     monkeypatch.setattr(watch_times, "ANSWER_SLACK_S", 0.05)
 
     async def calls_of_readers_for_ten_changes():
-        before = [way.calls for way in fleet.ways]
+        before = [client.calls for client in fleet.clients]
         for number in range(10):
             await fleet.put(f"a/{number}", str(before).encode())
             await eventually(lambda number=number: fleet.have(f"a/{number}", str(before).encode()))
         return sum(
-            way.calls - calls for way, calls in list(zip(fleet.ways, before, strict=True))[4:]
+            client.calls - calls
+            for client, calls in list(zip(fleet.clients, before, strict=True))[4:]
         )
 
     async with Fleet(20, in_force_s=0.3).following() as fleet:
@@ -300,45 +308,45 @@
             clock.now += 0.5
         return clock.now - began_at
 
-    watches._avoid(peer, "test")
+    watches._record_failure(peer, "test")
     clock.now += 0.5
-    watches._avoid(peer, "at the same time")
-    assert peer in watches._roles().watchers, "it may have been one answer that was lost"
-    assert avoided_s() == shared_watch.AVOID_S - 0.5
-    watches._avoid(peer, "again")
-    assert peer not in watches._roles().watchers, "the next one watches in its place"
-    assert avoided_s() == 2 * shared_watch.AVOID_S
+    watches._record_failure(peer, "at the same time")
+    assert peer in watches._roles().watchers, "a single lost answer must not change the roles"
+    assert avoided_s() == shared_watch.INITIAL_AVOID_S - 0.5
+    watches._record_failure(peer, "again")
+    assert peer not in watches._roles().watchers, "the next process must watch in its place"
+    assert avoided_s() == 2 * shared_watch.INITIAL_AVOID_S
 
 
 async def test_an_answer_that_comes_after_a_failure_ends_the_avoiding():
-    """The followers of one process ask one watcher at the same time, with different luck."""
+    """Several followers of a process may ask one watcher at once, and only some requests fail."""
     async with Fleet(20).following() as fleet:
         reader, peer = fleet.watches[7], fleet.peers[0]
         question = shared_watch.FeedQuestion("a/", 0, 0.0)
-        reader._avoid(peer, "another follower's question failed")
+        reader._record_failure(peer, "another follower's question failed")
         assert reader._is_avoided(peer)
-        assert await reader._try(peer, question) is not None
+        assert await reader._ask_peer(peer, question) is not None
         assert not reader._is_avoided(peer) and peer in reader._roles().watchers
 
 
 async def test_a_stale_watch_and_a_silent_answerer_together_hide_no_change_for_too_long():
-    """A reader that turned to the store may watch in vain there, and ask a frozen process next."""
+    """A reader that calls the store itself may get a stale watch, and then ask a frozen process."""
     fleet = Fleet(8, in_force_s=2.0)
     fleet.silent = {0, 1}
     waits = []
 
-    class Recorded(Way):
+    class RecordingStoreClient(FaultyStoreClient):
         async def watch(self, prefix, after_revision, wait):
             waits.append(wait)
             return Changes([], after_revision)
 
-    way = Recorded(fleet.store)
-    reader = SharedWatches(way, lambda: fleet.peers, "p07", fleet.ask, 2.0, way.answered_at)
+    client = RecordingStoreClient(fleet.store)
+    reader = SharedWatches(client, lambda: fleet.peers, "p07", fleet.ask, 2.0, client.answered_at)
     asked_at = time.monotonic()
     await reader.watch("a/", 0, 1.8)
     asked_s = time.monotonic() - asked_at
     assert len(waits) == 1
-    assert waits[0] + asked_s < 2.0, "one stale watch, and then a silent answerer"
-    watcher = SharedWatches(way, lambda: fleet.peers, "p00", fleet.ask, 2.0, way.answered_at)
+    assert waits[0] + asked_s < 2.0, "a stale watch and a silent answerer together"
+    watcher = SharedWatches(client, lambda: fleet.peers, "p00", fleet.ask, 2.0, client.answered_at)
     await watcher.watch("a/", 0, 1.8)
-    assert waits[1] > waits[0], "a watcher asks nobody first"
+    assert waits[1] > waits[0], "a watcher asks no other process first"
--- a/tests/coordination/test_shared_watch_machine.py
+++ b/tests/coordination/test_shared_watch_machine.py
@@ -1,4 +1,8 @@
-"""Processes that follow one prefix through each other, under faults: no copy ever goes back."""
+"""Processes follow one prefix through each other while faults are injected.
+
+Checks that no copy returns to an older state: the revision of a key only rises, and a key is only
+removed if it was removed at the store. Without faults every copy must become equal to the store.
+"""
 
 import asyncio
 import time
@@ -15,17 +19,17 @@
 from tests.support.waiting import LONGEST_SECONDS
 
 PROCESSES = 14
-"""So two of them watch for all."""
+"""Enough processes that two of them watch for all others."""
 IN_FORCE_S = 0.1
 RUN_S = 0.03
-"""How long the processes run after each rule: longer than a watch of a watcher."""
+"""Seconds for which the processes run after each rule."""
 KEYS = st.sampled_from([f"a/{number}" for number in range(4)])
 PROCESS = st.integers(0, 3)
-"""The two watchers, and two others."""
+"""The two watchers and two readers."""
 
 
-class Way:
-    """One process's way to the store; it can be down for this process alone."""
+class FaultyStoreClient:
+    """The store client of one process; it can be down for this process alone."""
 
     def __init__(self, store):
         self._store = store
@@ -44,7 +48,7 @@
 
 
 class Following(RuleBasedStateMachine):
-    """Each rule is a change or a fault, after which the processes run for a moment."""
+    """Each rule makes a change or injects a fault, and then runs the processes for a short time."""
 
     def __init__(self):
         super().__init__()
@@ -57,28 +61,33 @@
         self.store = MemoryStore()
         self.silent = set()
         peers = [Peer(f"p{number:02d}", str(number), number) for number in range(PROCESSES)]
-        self.ways = [Way(self.store) for _ in peers]
+        self.clients = [FaultyStoreClient(self.store) for _ in peers]
         self.watches = [
-            SharedWatches(way, lambda: peers, peer.name, self._ask, IN_FORCE_S, way.answered_at)
-            for way, peer in zip(self.ways, peers, strict=True)
+            SharedWatches(
+                client, lambda: peers, peer.name, self._ask, IN_FORCE_S, client.answered_at
+            )
+            for client, peer in zip(self.clients, peers, strict=True)
         ]
         self.followers = []
         for number, watches in enumerate(self.watches):
             follower = PrefixFollower(
-                watches, "a/", lambda key, entry, number=number: self._saw(number, key, entry), 0.1
+                watches,
+                "a/",
+                lambda key, entry, number=number: self._check_change(number, key, entry),
+                0.1,
             )
             watches.share(follower)
             self.followers.append(follower)
         self.tasks = [asyncio.create_task(one.run()) for one in self.followers]
 
-    async def _ask(self, address, body, longest_s):
+    async def _ask(self, address, body, timeout_s):
         if int(address) in self.silent:
-            await asyncio.sleep(longest_s)
+            await asyncio.sleep(timeout_s)
             raise KeyValueOutcomeUnknown("silent")
         return await self.watches[int(address)].serve(body)
 
-    def _saw(self, number, key, entry):
-        """A key's revision only rises, and a key only goes if it went at the store."""
+    def _check_change(self, number, key, entry):
+        """Record a problem if a revision did not rise, or if a removal has none at the store."""
         known = self.held[number].get(key, 0)
         if entry is not None:
             if entry.revision <= known:
@@ -116,7 +125,7 @@
 
     @rule(number=PROCESS, down=st.booleans())
     def lose_or_regain_the_store(self, number, down):
-        self.ways[number].down = down
+        self.clients[number].down = down
         self._run()
 
     @rule()
@@ -139,11 +148,11 @@
             self.loop.close()
 
     async def _settle(self):
-        """Without faults, every copy becomes the store's."""
+        """Clear the faults, and wait until every copy equals the store."""
         self.silent.clear()
         self.store.faults.hears_nothing = False
-        for way in self.ways:
-            way.down = False
+        for client in self.clients:
+            client.down = False
         async with asyncio.timeout(LONGEST_SECONDS):
             while any(one.entries != self.store.entries for one in self.followers):
                 await asyncio.sleep(0.01)
