--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -1,6 +1,6 @@
 """Leader election for a duty: which process holds it, and when that process may act.
 
-Duties are orders to samplers, usage reports and orders of new samplers.
+Examples of duties: orders to samplers, usage reports, and orders for additional samplers.
 
 Inputs: the two keys of the duty, from the local copy of the state prefix; the lease of this
 process; how long the duty has been known to be vacant (seconds of the clock that includes the time
--- a/src/crankseam/coordination/feed_messages.py
+++ b/src/crankseam/coordination/feed_messages.py
@@ -66,16 +66,16 @@
     return REFUSED_COMPACTED
 
 
-def make_feed_answer(seen: Changes, age_s: float) -> FeedAnswer:
+def make_feed_answer(result: Changes, age_s: float) -> FeedAnswer:
     """Build the answer to a reader; large values are replaced by their keys."""
     entries: list[Entry] = []
     removals: list[Removal] = []
     large: list[str] = []
-    for change in seen.changes:
+    for change in result.changes:
         if isinstance(change, Removal):
             removals.append(change)
         elif len(change.value) > LARGE_VALUE_BYTES:
             large.append(change.key)
         else:
             entries.append(change)
-    return FeedAnswer("", entries, removals, large, seen.revision, age_s)
+    return FeedAnswer("", entries, removals, large, result.revision, age_s)
--- a/src/crankseam/coordination/follower.py
+++ b/src/crankseam/coordination/follower.py
@@ -183,19 +183,19 @@
                 self.feed.watch_ended(answered and self._watch_task.exception() is None)
         if not done or self._watch_task.cancelled():
             return
-        seen = self._watch_task.result()
-        for change in seen.changes:
+        result = self._watch_task.result()
+        for change in result.changes:
             if isinstance(change, Entry):
                 self._apply_entry(change)
             else:
                 self._apply_removal(change)
-        if seen.changes:
+        if result.changes:
             # A result without changes does not advance the revision: the watch may have been stale.
-            self.revision = max(self.revision, seen.revision)
-        self.confirmed_at = asked_at - seen.age_s
+            self.revision = max(self.revision, result.revision)
+        self.confirmed_at = asked_at - result.age_s
         if self.feed is not None:
-            self.feed.extend(seen.changes, self.revision, self.confirmed_at)
-        if seen.changes and self._coalesce_s:
+            self.feed.extend(result.changes, self.revision, self.confirmed_at)
+        if result.changes and self._coalesce_s:
             await asyncio.sleep(self._coalesce_s)
 
     def _apply_entry(self, entry: Entry) -> None:
--- a/src/crankseam/coordination/relay_messages.py
+++ b/src/crankseam/coordination/relay_messages.py
@@ -104,10 +104,10 @@
             page = await store.page(call.key, call.after_key)
             return RelayAnswer(entries=page.entries, more=page.more, revision=page.revision)
         case "watch":
-            seen = await store.watch(call.key, call.after_revision, call.wait)
-            entries = [change for change in seen.changes if isinstance(change, Entry)]
-            removals = [change for change in seen.changes if isinstance(change, Removal)]
-            return RelayAnswer(entries=entries, removals=removals, revision=seen.revision)
+            result = await store.watch(call.key, call.after_revision, call.wait)
+            entries = [change for change in result.changes if isinstance(change, Entry)]
+            removals = [change for change in result.changes if isinstance(change, Removal)]
+            return RelayAnswer(entries=entries, removals=removals, revision=result.revision)
         case "commit":
             transaction = Transaction(call.conditions, call.puts, call.removals)
             return RelayAnswer(revision=await store.commit(transaction))
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -47,7 +47,7 @@
 """A peer that did not answer is avoided for this long, and after each further failure for twice as
 long as before. From the second failure on, the next process takes over its role: with 25 of 71
 processes refused by the store, this reduced the calls from 9,452 to 7,994 a day, and raised the
-worth from 0.67 to 0.79."""
+worth of the day from 0.67 to 0.79."""
 MAX_AVOID_S = 16.0
 """Upper limit of this period."""
 
@@ -183,10 +183,10 @@
             return await self._store.watch(prefix, after_revision, wait_s)
         wait_s = min(wait_s, self._times.watcher_watch_s)
         requested_at = clocks.promised_s()
-        seen = await self._store.watch(prefix, after_revision, wait_s)
-        if seen.changes:
-            return seen
-        return replace(seen, age_s=-min(wait_s, clocks.promised_s() - requested_at))
+        result = await self._store.watch(prefix, after_revision, wait_s)
+        if result.changes:
+            return result
+        return replace(result, age_s=-min(wait_s, clocks.promised_s() - requested_at))
 
     async def _ask_peer(self, peer: Peer, question: FeedQuestion) -> FeedAnswer | None:
         """Ask a watcher or mirror; None if it failed or is unable to answer now."""
--- a/src/crankseam/coordination/watch_roles.py
+++ b/src/crankseam/coordination/watch_roles.py
@@ -31,7 +31,7 @@
 processes, and eleven with 420."""
 MIN_PROCESSES_FOR_SHARING = 4
 """With fewer processes each one watches the store, because sharing would save little: with nine
-processes, two watchers reduced the price of the calls by 0.02 of worth."""
+processes, two watchers reduced the price of the calls by 0.02 of the worth of a day."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,9 +111,9 @@
     answers again.
     """
     oldest_first = sorted(processes, key=lambda peer: (peer.revision, peer.name))
-    answering = [peer for peer in oldest_first if not is_excluded(peer)]
-    watchers = answering[: watcher_count(len(processes))]
-    answerers = answering[: answerer_count(len(processes))]
+    eligible = [peer for peer in oldest_first if not is_excluded(peer)]
+    watchers = eligible[: watcher_count(len(processes))]
+    answerers = eligible[: answerer_count(len(processes))]
     return WatchRoles(
         watchers, answerers, _has_role(watchers, process), _has_role(answerers, process)
     )
