--- a/src/crankseam/coordination/interface.py
+++ b/src/crankseam/coordination/interface.py
@@ -81,7 +81,7 @@
 class Transaction:
     """Atomic: all puts and removals are done if every condition holds, otherwise none.
 
-    The conditions, puts and removals together number at most `MAX_TRANSACTION_ENTRIES`.
+    A transaction has at most `MAX_TRANSACTION_ENTRIES` entries in total.
     """
 
     conditions: list[Condition] = field(default_factory=list)
@@ -90,7 +90,7 @@
 
 
 MAX_TRANSACTION_ENTRIES = 32
-"""The smallest limit among the stores that implement this interface."""
+"""Number of entries per transaction that every store behind this interface accepts."""
 
 
 @dataclass
--- a/src/crankseam/coordination/peer_http.py
+++ b/src/crankseam/coordination/peer_http.py
@@ -65,9 +65,10 @@
         Raises
         ======
 
-        KeyValueUnavailable : the connection failed, or the peer does not serve this kind of call;
-            nothing was done.
-        KeyValueOutcomeUnknown : no answer came, or the peer failed while it handled the call.
+        KeyValueUnavailable : the connection was refused, or the peer does not serve this kind of
+            call; nothing was done.
+        KeyValueOutcomeUnknown : no answer came in time, or the peer failed while it handled the
+            call.
         """
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
