--- a/src/crankseam/quarantine/fingerprint.py
+++ b/src/crankseam/quarantine/fingerprint.py
@@ -1,9 +1,12 @@
-"""Are two requests the same one that came twice?
-
-Inputs: tenant, method, host, target and body of each.
-Rule: they are if the digests of these five are equal; nothing else of a request counts.
-Protects: tenants from being held back for others; the memory of bodies, which are never kept.
-Shown by: `fingerprint` of many events. Held by: tests/quarantine/test_fingerprint.py.
+"""Recognizes a request that is received again.
+
+Inputs: tenant, method, host, target and body of each request.
+Rule: Two requests are the same if the digests of these five values are equal. Nothing else of a
+request is compared.
+Purpose: No tenant's request is held because of another tenant's request, and bodies are never kept
+in memory.
+Logged as: the field `fingerprint` of many events.
+Tested by: tests/quarantine/test_fingerprint.py.
 """
 
 from __future__ import annotations
@@ -11,25 +14,27 @@
 import hashlib
 
 DIGEST_BYTES = 16
-"""128 bits: two different requests do not meet by chance, and nobody makes them meet."""
+"""128 bits: collisions are neither likely by chance nor feasible to construct."""
 LENGTH_BYTES = 8
-"""Bytes of the length before each part, so that no two requests run together to the same text."""
+"""Size of the length prefix of each part. Without it, parts that are divided differently could
+concatenate to the same bytes."""
 
 
 def fingerprint_of(tenant: str, method: str, host: str, target: str, body: bytes) -> str:
-    """The digest of what a back end works on, and for whom.
+    """Returns the digest that identifies a request across retries.
 
     Explanation
     ===========
 
-    A request that comes again has another id and another deadline, and often another connection
-    and process. Tenant, method, host, target and body are what stays. The tenant is part of it, so
-    that no tenant's requests count for another's. The body is never kept.
+    A request that is sent again has another id and another deadline, and often arrives on another
+    connection or at another process. Its tenant, method, host, target and body stay the same. The
+    digest includes the tenant, so that crashes caused by one tenant's requests never count against
+    another tenant. The body itself is never kept.
 
     Parameters
     ==========
 
-    target : path and query as they stood in the request.
+    target : path and query exactly as received.
 
     Examples
     ========
