--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -26,9 +26,9 @@
         self._quarantine = quarantine
         self._ends = ends
 
-    def begin(self, subject: TrialSubject, most_ends: int) -> Trial:
+    def begin(self, subject: TrialSubject, crash_limit: int) -> Trial:
         """The trial of a request that is about to be sent."""
-        return Trial(self._quarantine, subject, most_ends)
+        return Trial(self._quarantine, subject, crash_limit)
 
     async def ended_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
         """The id of a back end that ended under an attempt; empty if it did not."""
--- a/src/crankseam/quarantine/holding.py
+++ b/src/crankseam/quarantine/holding.py
@@ -1,16 +1,19 @@
-"""When is a request held back, when is it tried again, when is it released or forgotten?
-
-Inputs: ids of the back ends that ended under the request and the probes since, as the store holds
-them (as old as the last answer of a watch); seconds since this process learned of the last change;
-sends that are under way here.
-Rule: Once as many back ends ended under it as may (two; of an item three without an event between),
-it is sent to nobody. After a hold of 3, 12 and 48 s the process that wins the store's
-compare-and-swap sends it once, to one back end. A whole answer, of an item its first event,
-releases it everywhere; after three probes that ended a back end, only an operator or a day does.
-Protects: a service from a request that ends each of its back ends; healthy requests that only stood
-beside it are free after the first hold.
-Shown by: `request_held`, `item_held`, `suspect_probed`, `suspect_released`.
-Held by: tests/quarantine/, tests/platform/test_crashing_requests.py. Figures: docs/design/14.
+"""Decides when a request is held, probed, released and forgotten.
+
+Inputs: ids of the back ends that crashed under the request and the number of probes since, as held
+by the store (as recent as the last answer of the watch); seconds since this process learned of the
+last change; sends of the request that are in flight here.
+Rule: A request is held, that is, sent to no back end, once the number of back ends that crashed
+under it reaches its limit (by default two; for an item three, without an event in between). After a
+hold of 3, 12 and 48 s, the process that wins the store's compare-and-swap sends the request once,
+as a probe, to one back end. A complete answer, or the first event of an item, releases the request
+in all processes. After three probes that crashed a back end, only an operator releases it, or it is
+forgotten after one day.
+Purpose: A request that crashes every back end cannot take down its service. Healthy requests that
+only shared a back end with it are released after the first hold.
+Logged as: `request_held`, `item_held`, `suspect_probed`, `suspect_released`.
+Tested by: tests/quarantine/, tests/platform/test_crashing_requests.py.
+Measurements: docs/design/14.
 """
 
 from __future__ import annotations
@@ -18,72 +21,78 @@
 from crankseam.serving.routes import RequestKind
 
 DEFAULT_MOST_ENDS = 2
-"""Back ends that may end under one request before it is held back. A request that a crash broke is
-served at its second try; one that ends each back end leaves a service of three with one."""
+"""Number of back ends that crash under one request before it is held. With two, a request that was
+interrupted by an unrelated crash is still served at its second attempt, and a request that crashes
+every back end leaves one of a service's three back ends running."""
 DEFAULT_MOST_ENDS_OF_ITEM = 3
-"""The same for an item of a job. A sampler that ends takes a dozen items with it, which go on
-elsewhere at once: of twelve on six samplers two meet the culprit a second time, and one in three
-times one of them does a third time."""
+"""The same limit for an item of a job. A sampler that crashes interrupts about twelve items, which
+all resume on other samplers at once. With six samplers, two of the twelve again share a sampler
+with the item that causes the crash, and in one of three cases one of them does so a third time."""
 MOST_PROBES = 3
-"""So often a request that is held back is tried again; after that only an operator releases it."""
+"""Number of probes of a held request; after the last one only an operator releases it."""
 FIRST_HOLD_S = 3.0
-"""A request that is held back is tried again after this: a healthy one, which was there by bad
-luck, is free then. An item that waits longer would cost its step."""
+"""Hold before the first probe, which releases a healthy request that only shared a back end with
+the one that causes the crash. A longer hold of an item would delay the training step it is part of.
+"""
 HOLD_FACTOR = 4.0
-"""Each probe under which a back end ended makes the hold longer by this."""
-SUSPECTED_S = 600.0
-"""An end under a request that is not held back counts for so long."""
-HELD_LONGEST_S = 86_400.0
-"""A request that is held back is forgotten after this."""
-TOLD_LONGEST_S = 60.0
-"""What a peer told and the store never took is forgotten after this: whoever told it is gone."""
+"""Factor by which the hold grows with each probe under which a back end crashed."""
+SUSPECT_RETENTION_S = 600.0
+"""Retention of a request that has crashes but is not held, counted from its last change."""
+HELD_RETENTION_S = 86_400.0
+"""Retention of a held request, counted from its last change."""
+UNSTORED_RETENTION_S = 60.0
+"""Retention of a record that was received from a peer but never stored; by then the
+process that sent it is assumed to have ended."""
 PROBE_RETRY_S = 0.5
-"""A probe that the store did not give, or gave to another process, is asked for again."""
-PROBE_TURN_S = 0.05
-"""An item whose hold is over asks so often whether another suspect's probe is over."""
+"""Pause before a probe is requested again after the store did not grant it or granted it to
+another process."""
+PROBE_POLL_S = 0.05
+"""Interval at which an item whose hold is over checks whether the probe of another suspect has
+finished."""
 
 
 def default_most_ends(kind: RequestKind) -> int:
-    """Back ends that may end under one request of a route that says nothing of it."""
+    """Returns the crash limit of requests on routes that do not configure one."""
     return DEFAULT_MOST_ENDS_OF_ITEM if kind is RequestKind.JOB else DEFAULT_MOST_ENDS
 
 
-def is_held(ends: int, most_ends: int) -> bool:
-    """Whether as many back ends ended as may."""
-    return ends >= most_ends
+def is_held(crashes: int, crash_limit: int) -> bool:
+    """Whether the number of crashes has reached the limit."""
+    return crashes >= crash_limit
 
 
-def hold_s(probes: int) -> float:
-    """Seconds for which it is held back since its last change."""
+def hold_duration_s(probes: int) -> float:
+    """Returns for how many seconds after its last change a request is held."""
     if probes >= MOST_PROBES:
-        return HELD_LONGEST_S
+        return HELD_RETENTION_S
     return FIRST_HOLD_S * HOLD_FACTOR**probes
 
 
-def remembered_s(held: bool, stored: bool) -> float:
-    """Seconds for which it is remembered since its last change.
+def retention_s(held: bool, stored: bool) -> float:
+    """Returns for how many seconds after its last change a suspect is kept.
 
     Parameters
     ==========
 
-    held : whether it is held back.
-    stored : whether the store holds it, or only a peer told of it.
+    held : whether the request is held.
+    stored : whether its record is in the store; False if it was only received from a peer.
     """
     if not stored:
-        return TOLD_LONGEST_S
-    return HELD_LONGEST_S if held else SUSPECTED_S
+        return UNSTORED_RETENTION_S
+    return HELD_RETENTION_S if held else SUSPECT_RETENTION_S
 
 
-def may_send_again(ends: int, sends_under_way: int, most_ends: int) -> bool:
-    """Whether it may be sent once more; each send that is under way may end its back end too."""
-    return ends + sends_under_way < most_ends
+def may_send_again(crashes: int, in_flight: int, crash_limit: int) -> bool:
+    """Whether a request may be sent once more. Each send in flight may still crash its back end."""
+    return crashes + in_flight < crash_limit
 
 
 def retry_after_s(held_for_s: float) -> float:
-    """Seconds after which a caller may come back: its hold is over, or the probe is another's."""
+    """Returns the seconds after which a caller should retry: the rest of the hold, or a short pause
+    if the hold is over and another process has the probe."""
     return max(held_for_s, PROBE_RETRY_S)
 
 
 def probe_pause_s(held_for_s: float) -> float:
-    """Seconds after which an item asks again whether it may be tried."""
-    return min(PROBE_RETRY_S, max(held_for_s, PROBE_TURN_S))
+    """Returns the seconds after which an item requests a probe again."""
+    return min(PROBE_RETRY_S, max(held_for_s, PROBE_POLL_S))
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -67,13 +67,13 @@
         """The same after another number of probes."""
         return msgspec.structs.replace(self, probes=probes)
 
-    def is_held(self, most_ends: int) -> bool:
+    def is_held(self, crash_limit: int) -> bool:
         """Whether as many back ends ended as may."""
-        return holding.is_held(len(self.ended), most_ends)
+        return holding.is_held(len(self.ended), crash_limit)
 
-    def hold_s(self) -> float:
+    def hold_duration_s(self) -> float:
         """How long it is held back since its last change."""
-        return holding.hold_s(self.probes)
+        return holding.hold_duration_s(self.probes)
 
 
 def name_of_end(back_end: str) -> str:
--- a/src/crankseam/quarantine/table.py
+++ b/src/crankseam/quarantine/table.py
@@ -37,7 +37,7 @@
 
     def held_for_s(self) -> float:
         """Seconds until it may be tried again."""
-        return max(0.0, self.changed_at + self.record.hold_s() - time.monotonic())
+        return max(0.0, self.changed_at + self.record.hold_duration_s() - time.monotonic())
 
     def is_held(self) -> bool:
         """Whether it is held back for callers."""
@@ -45,8 +45,8 @@
 
     def is_over(self) -> bool:
         """Whether it is remembered no longer."""
-        remembered_s = holding.remembered_s(self.is_held(), stored=self.revision != ABSENT)
-        return time.monotonic() - self.changed_at > remembered_s
+        retention_s = holding.retention_s(self.is_held(), stored=self.revision != ABSENT)
+        return time.monotonic() - self.changed_at > retention_s
 
 
 class SuspectTable:
--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/trial.py
@@ -43,10 +43,10 @@
     most_ends : back ends that may end under the request, over all processes, before it is held.
     """
 
-    def __init__(self, quarantine: Quarantine, subject: TrialSubject, most_ends: int) -> None:
+    def __init__(self, quarantine: Quarantine, subject: TrialSubject, crash_limit: int) -> None:
         self._quarantine = quarantine
         self.subject = subject
-        self._most_ends = most_ends
+        self._crash_limit = crash_limit
         self.ended: list[str] = []
         """Back ends that ended under this trial."""
         self._unreported: list[str] = []
@@ -61,7 +61,7 @@
     def _held(self) -> Suspect | None:
         """What is known of the request, if it is held back."""
         suspect = self._quarantine.find(self.subject)
-        if suspect is None or not suspect.record.is_held(self._most_ends):
+        if suspect is None or not suspect.record.is_held(self._crash_limit):
             return None
         return suspect
 
@@ -131,7 +131,7 @@
         suspect = self._quarantine.find(self.subject)
         if suspect is not None:
             ended.update(suspect.record.ended)
-        return holding.may_send_again(len(ended), self._running, self._most_ends)
+        return holding.may_send_again(len(ended), self._running, self._crash_limit)
 
     # --- what came of it
 
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -60,8 +60,8 @@
         for peer in self.peers:
             await peer.publisher.serve(raw)
 
-    def trial(self, subject=None, most_ends=2):
-        return Trial(self.quarantine, subject or make_subject(), most_ends)
+    def trial(self, subject=None, crash_limit=2):
+        return Trial(self.quarantine, subject or make_subject(), crash_limit)
 
     def knows(self, subject=None, ends=1):
         found = self.table.find((subject or make_subject()).fingerprint)
--- a/tests/quarantine/test_trial.py
+++ b/tests/quarantine/test_trial.py
@@ -82,7 +82,7 @@
     holds = []
     for number in range(holding.MOST_PROBES):
         suspect = processes[0].table.find(fingerprint)
-        holds.append(suspect.record.hold_s())
+        holds.append(suspect.record.hold_duration_s())
         await eventually(lambda suspect=suspect: suspect.held_for_s() == 0.0)
         probe = processes[0].trial()
         await probe.admit()
@@ -189,7 +189,7 @@
 
 
 async def test_an_item_that_goes_on_is_no_suspect(processes):
-    item = processes[0].trial(most_ends=3)
+    item = processes[0].trial(crash_limit=3)
     send(item, ended="b1")
     send(item, ended="b2")
     item.progressed()
@@ -199,7 +199,7 @@
 
 
 async def test_an_item_waits_until_it_may_be_tried(processes, short_holds):
-    item = processes[0].trial(most_ends=3)
+    item = processes[0].trial(crash_limit=3)
     for ended in ("b1", "b2", "b3"):
         assert item.may_send()
         send(item, ended=ended)
