--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -163,7 +163,7 @@
         fingerprint = subject.fingerprint
         try:
             async with asyncio.timeout(CLAIM_PATIENCE_S):
-                changed = await self._store.change(fingerprint, record, revision)
+                changed = await self._store.replace(fingerprint, record, revision)
         except TransactionConflict as conflict:
             for entry in conflict.found.values():
                 self.state_changed(entry.key, entry)
--- a/src/crankseam/quarantine/suspect_store.py
+++ b/src/crankseam/quarantine/suspect_store.py
@@ -1,7 +1,8 @@
-"""Suspect requests in the coordination store: one key each, changed by compare-and-swap.
+"""Stores suspect requests in the coordination store: one key each, changed by compare-and-swap.
 
-`state/suspect/FINGERPRINT` holds a `SuspectRecord`. Every process follows the prefix of states
-anyway, so a suspect costs one write and is known everywhere; it outlives all processes.
+The key `state/suspect/FINGERPRINT` holds a `SuspectRecord`. Every process follows the state prefix
+anyway, so one write makes a suspect known to all of them. The record survives the restart of any
+or all processes.
 """
 
 from __future__ import annotations
@@ -20,15 +21,21 @@
 from crankseam.quarantine.model import SuspectRecord
 
 SUSPECT_FOLDER = "suspect/"
-"""Below the prefix of states."""
+"""Key prefix of suspects, relative to the state prefix."""
 
 
 class SuspectMalformed(ValueError):
-    """A key whose value is no record."""
+    """The value of a suspect's key cannot be decoded."""
 
 
 def decode_suspect(value: bytes) -> SuspectRecord:
-    """What a key holds; raises SuspectMalformed."""
+    """Decodes the value of a suspect's key.
+
+    Raises
+    ======
+
+    SuspectMalformed : the value is not an encoded `SuspectRecord`.
+    """
     try:
         return msgspec.msgpack.decode(value, type=SuspectRecord)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
@@ -36,12 +43,12 @@
 
 
 class SuspectStore:
-    """Writes suspects. Every failure is a KeyValueError.
+    """Writes suspects to the store. Every failure is a KeyValueError.
 
     Parameters
     ==========
 
-    state_prefix : the prefix that every process follows.
+    state_prefix : the key prefix that every process follows.
     """
 
     def __init__(self, store: TransactionStore, state_prefix: str) -> None:
@@ -49,68 +56,73 @@
         self.prefix = state_prefix + SUSPECT_FOLDER
 
     def fingerprint_of_key(self, key: str) -> str:
-        """The fingerprint in a key."""
+        """Returns the fingerprint that a suspect's key contains."""
         return key.removeprefix(self.prefix)
 
     async def add(
-        self, fingerprint: str, record: SuspectRecord, revision: int, dropped: list[str]
+        self, fingerprint: str, record: SuspectRecord, revision: int, evicted: list[str]
     ) -> tuple[SuspectRecord, int]:
-        """Add ends to what the store holds; what it holds then, and the key's revision.
+        """Adds the crashes in `record` to the stored record.
 
         Parameters
         ==========
 
-        revision : of the key as it was last seen here; ABSENT if it was not.
-        dropped : fingerprints that give way to it.
+        revision : revision of the key as last seen by this process; ABSENT if it was never seen.
+        evicted : fingerprints that are removed from the store in the same transaction.
+
+        Returns
+        =======
+
+        The record that the store holds afterwards, and the revision of its key.
         """
         while True:
             try:
-                done = await self._write(fingerprint, record, revision, dropped)
-                return record, done
+                new_revision = await self._write(fingerprint, record, revision, evicted)
+                return record, new_revision
             except TransactionConflict as conflict:
                 found = conflict.found.get(self.prefix + fingerprint)
                 if found is None:
                     revision = ABSENT
                     continue
-                kept = _merged(found, record)
+                kept = _merge_crashes(found, record)
                 if kept is None:
                     return decode_suspect(found.value), found.revision
                 record, revision = kept, found.revision
 
-    async def change(self, fingerprint: str, record: SuspectRecord, revision: int) -> int:
-        """Replace a record that is still as it was seen; the new revision.
+    async def replace(self, fingerprint: str, record: SuspectRecord, revision: int) -> int:
+        """Replaces a record whose key is still at `revision`; returns the new revision.
 
         Raises
         ======
 
-        TransactionConflict : it is not.
+        TransactionConflict : the key has another revision.
         """
         return await self._write(fingerprint, record, revision, [])
 
     async def remove(self, fingerprint: str, revision: int) -> None:
-        """Forget a suspect that is still as it was seen."""
+        """Removes a suspect whose key is still at `revision`."""
         key = self.prefix + fingerprint
         try:
             await self._store.commit(Transaction([Condition(key, revision)], removals=[key]))
         except TransactionConflict:
-            # It has changed since: what is known of it now is not what was released.
+            # The record has changed since it was released, so its new state stays.
             return
 
     async def _write(
-        self, fingerprint: str, record: SuspectRecord, revision: int, dropped: list[str]
+        self, fingerprint: str, record: SuspectRecord, revision: int, evicted: list[str]
     ) -> int:
         key = self.prefix + fingerprint
         put = Put(key, msgspec.msgpack.encode(record))
-        removals = [self.prefix + one for one in dropped]
+        removals = [self.prefix + other for other in evicted]
         return await self._store.commit(Transaction([Condition(key, revision)], [put], removals))
 
 
-def _merged(found: Entry, record: SuspectRecord) -> SuspectRecord | None:
-    """What is there with more ends; None if it has them all."""
+def _merge_crashes(found: Entry, record: SuspectRecord) -> SuspectRecord | None:
+    """Returns the stored record with the crashes in `record` added; None if it has them already."""
     try:
-        there = decode_suspect(found.value)
+        stored = decode_suspect(found.value)
     except SuspectMalformed:
-        # Written over: the follower of the key has logged it.
+        # The malformed value is overwritten; the follower of the key has logged it.
         return record
-    merged = there.with_crashes(record.ended)
-    return merged if merged != there else None
+    merged = stored.with_crashes(record.ended)
+    return merged if merged != stored else None
