--- a/src/crankseam/quarantine/publisher.py
+++ b/src/crankseam/quarantine/publisher.py
@@ -17,7 +17,7 @@
 from crankseam.errors import KeyValueError
 from crankseam.quarantine.model import SuspectNews, SuspectRecord
 from crankseam.quarantine.suspect_store import SuspectStore
-from crankseam.quarantine.table import MOST_SUSPECTS, SuspectTable
+from crankseam.quarantine.table import MAX_SUSPECTS, SuspectTable
 
 log = logging.getLogger(__name__)
 
@@ -74,11 +74,11 @@
 
     def publish(self, fingerprint: str, record: SuspectRecord) -> None:
         """Make ends known; at once here, soon everywhere."""
-        self._dropped += self._table.take_told(fingerprint, record)
+        self._dropped += self._table.apply_unstored(fingerprint, record)
         del self._dropped[:-MOST_DROPPED]
         known = self._waiting.get(fingerprint)
         self._waiting[fingerprint] = record if known is None else known.with_crashes(record.ended)
-        while len(self._waiting) > MOST_SUSPECTS:
+        while len(self._waiting) > MAX_SUSPECTS:
             del self._waiting[next(iter(self._waiting))]
         self._wake.set()
 
@@ -89,7 +89,7 @@
 
     def stored(self, fingerprint: str, record: SuspectRecord, revision: int) -> None:
         """The store holds a record in this state: take it, and announce it if need be."""
-        self._table.take(fingerprint, record, revision)
+        self._table.apply_stored(fingerprint, record, revision)
         if not self._is_followed:
             self._unannounced.records[fingerprint] = record
             self._unannounced.revisions[fingerprint] = revision
@@ -178,9 +178,9 @@
         for fingerprint, record in news.records.items():
             revision = news.revisions.get(fingerprint, ABSENT)
             if revision == ABSENT:
-                self._table.take_told(fingerprint, record)
+                self._table.apply_unstored(fingerprint, record)
             else:
-                self._table.take(fingerprint, record, revision)
+                self._table.apply_stored(fingerprint, record, revision)
         for fingerprint in news.released:
             self._table.remove(fingerprint)
         return b""
--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -76,7 +76,7 @@
 
     def find(self, subject: TrialSubject) -> Suspect | None:
         """What is known of a request; costs nothing unless a suspect has a body of its length."""
-        if not self._table.may_know(len(subject.body)):
+        if not self._table.has_body_length(len(subject.body)):
             return None
         return self._table.find(subject.fingerprint)
 
@@ -190,7 +190,7 @@
         except SuspectMalformed as error:
             log.error("suspect_malformed", extra={"key": key, "detail": str(error)})
             return
-        self._table.take(fingerprint, record, entry.revision)
+        self._table.apply_stored(fingerprint, record, entry.revision)
 
     def take_all(self, entries: list[Entry]) -> None:
         """Take a reading of all that the store holds."""
@@ -206,5 +206,5 @@
         while True:
             await asyncio.sleep(FORGET_LOOK_S)
             for fingerprint, suspect in self._table:
-                if suspect.is_over() and self._is_sweeper():
+                if suspect.has_expired() and self._is_sweeper():
                     self.release(fingerprint, EXPIRED)
--- a/src/crankseam/quarantine/table.py
+++ b/src/crankseam/quarantine/table.py
@@ -1,7 +1,8 @@
 """The suspect requests that this process knows of.
 
-Owns them, bounded in number and time (`holding.remembered_s`). Relies on the quarantine to bring
-what the store holds, and on the publisher to bring what was seen here or told by peers.
+Owns the table of suspects, which is limited in size (`MAX_SUSPECTS`) and in retention
+(`holding.retention_s`). The quarantine enters the changes that the store reports; the publisher
+enters crashes seen by this process and records received from peers.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from crankseam.quarantine import holding
 from crankseam.quarantine.model import SuspectRecord
 
-MOST_SUSPECTS = 1000
-"""More are not remembered: some 300 bytes each. Those that are not held back go first, then those
-that changed longest ago."""
+MAX_SUSPECTS = 1000
+"""Maximum number of suspects, of about 300 bytes each. Suspects that are not held are evicted
+first, and among these the one that changed longest ago."""
 
 
 @dataclass(slots=True)
@@ -27,7 +28,7 @@
     Attributes
     ==========
 
-    revision : the store's at the last change of its key; ABSENT while only peers told of it.
+    revision : the store's revision of the last change of the key; ABSENT while it is not stored.
     changed_at : monotonic time at which this process learned of the last change.
     """
 
@@ -36,15 +37,15 @@
     changed_at: float = field(default_factory=lambda: time.monotonic())
 
     def held_for_s(self) -> float:
-        """Seconds until it may be tried again."""
+        """Returns the seconds until the request may be probed; zero once its hold is over."""
         return max(0.0, self.changed_at + self.record.hold_duration_s() - time.monotonic())
 
     def is_held(self) -> bool:
-        """Whether it is held back for callers."""
+        """Whether the number of crashes has reached the default limit of requests from callers."""
         return self.record.is_held(holding.DEFAULT_MOST_ENDS)
 
-    def is_over(self) -> bool:
-        """Whether it is remembered no longer."""
+    def has_expired(self) -> bool:
+        """Whether the retention of the suspect is over."""
         retention_s = holding.retention_s(self.is_held(), stored=self.revision != ABSENT)
         return time.monotonic() - self.changed_at > retention_s
 
@@ -52,13 +53,13 @@
 class SuspectTable:
     """Suspects by fingerprint.
 
-    A request is compared only if its body is as long as a suspect's; where there is no suspect,
-    it costs nothing.
+    The table also counts suspects by the length of their body, so that a request needs a
+    fingerprint only if a suspect has a body of the same length.
     """
 
     def __init__(self) -> None:
         self._suspects: dict[str, Suspect] = {}
-        self._lengths: Counter[int] = Counter()
+        self._body_lengths: Counter[int] = Counter()
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -67,69 +68,72 @@
         return iter(list(self._suspects.items()))
 
     def held_count(self) -> int:
-        """How many are held back."""
-        return sum(one.is_held() for one in self._suspects.values())
+        """Returns the number of held suspects."""
+        return sum(suspect.is_held() for suspect in self._suspects.values())
 
-    def may_know(self, body_bytes: int) -> bool:
-        """Whether a body of this length may be a suspect's."""
-        return body_bytes in self._lengths
+    def has_body_length(self, body_bytes: int) -> bool:
+        """Whether any suspect has a body of this length."""
+        return body_bytes in self._body_lengths
 
     def find(self, fingerprint: str) -> Suspect | None:
-        """What is known of a request; None if it is no suspect."""
+        """Returns the suspect with this fingerprint; None if there is none.
+
+        A suspect that is not stored and has expired is removed.
+        """
         suspect = self._suspects.get(fingerprint)
-        if suspect is not None and suspect.revision == ABSENT and suspect.is_over():
+        if suspect is not None and suspect.revision == ABSENT and suspect.has_expired():
             self.remove(fingerprint)
             return None
         return suspect
 
-    def take(self, fingerprint: str, record: SuspectRecord, revision: int) -> None:
-        """Take what the store holds; ends that it has not taken yet stay."""
+    def apply_stored(self, fingerprint: str, record: SuspectRecord, revision: int) -> None:
+        """Applies a record that the store holds; crashes that are not stored yet are kept."""
         known = self._suspects.get(fingerprint)
         if known is None:
-            self._put(fingerprint, Suspect(record, revision))
+            self._insert(fingerprint, Suspect(record, revision))
         elif known.revision < revision:
-            self._put(fingerprint, Suspect(record.with_crashes(known.record.ended), revision))
+            self._insert(fingerprint, Suspect(record.with_crashes(known.record.ended), revision))
 
-    def take_told(self, fingerprint: str, record: SuspectRecord) -> list[str]:
-        """Take what a peer told, or what was seen here, before the store has taken it.
+    def apply_unstored(self, fingerprint: str, record: SuspectRecord) -> list[str]:
+        """Applies a record received from a peer or created here that is not stored yet.
 
         Returns
         =======
 
-        Suspects that gave way, and that the store still holds.
+        Fingerprints of evicted suspects that the store still holds.
         """
         known = self._suspects.get(fingerprint)
         if known is None:
-            return self._put(fingerprint, Suspect(record))
+            return self._insert(fingerprint, Suspect(record))
         merged = known.record.with_crashes(record.ended)
         if merged != known.record:
-            self._put(fingerprint, Suspect(merged, known.revision))
+            self._insert(fingerprint, Suspect(merged, known.revision))
         return []
 
-    def _put(self, fingerprint: str, suspect: Suspect) -> list[str]:
+    def _insert(self, fingerprint: str, suspect: Suspect) -> list[str]:
         self.remove(fingerprint)
-        dropped: list[str] = []
-        while len(self._suspects) >= MOST_SUSPECTS:
-            least_needed = self._least_needed()
-            if self._suspects[least_needed].revision != ABSENT:
-                dropped.append(least_needed)
-            self.remove(least_needed)
+        evicted: list[str] = []
+        while len(self._suspects) >= MAX_SUSPECTS:
+            candidate = self._eviction_candidate()
+            if self._suspects[candidate].revision != ABSENT:
+                evicted.append(candidate)
+            self.remove(candidate)
         self._suspects[fingerprint] = suspect
-        self._lengths[suspect.record.body_bytes] += 1
-        return dropped
+        self._body_lengths[suspect.record.body_bytes] += 1
+        return evicted
 
     def remove(self, fingerprint: str) -> None:
-        """Forget one."""
+        """Removes a suspect, if it is in the table."""
         gone = self._suspects.pop(fingerprint, None)
         if gone is None:
             return
         length = gone.record.body_bytes
-        self._lengths[length] -= 1
-        if not self._lengths[length]:
-            del self._lengths[length]
+        self._body_lengths[length] -= 1
+        if not self._body_lengths[length]:
+            del self._body_lengths[length]
 
-    def _least_needed(self) -> str:
-        """The one that is forgotten first."""
+    def _eviction_candidate(self) -> str:
+        """Returns the fingerprint of the suspect to evict next; see `MAX_SUSPECTS`."""
         return min(
             self._suspects,
             key=lambda key: (
--- a/tests/quarantine/test_publisher.py
+++ b/tests/quarantine/test_publisher.py
@@ -93,7 +93,7 @@
 
 
 async def test_one_that_gives_way_leaves_the_store_too(pair, monkeypatch):
-    monkeypatch.setattr("crankseam.quarantine.table.MOST_SUSPECTS", 2)
+    monkeypatch.setattr("crankseam.quarantine.table.MAX_SUSPECTS", 2)
     subjects = [make_subject(body=bytes([number])) for number in range(4)]
     for subject in subjects:
         one = pair[0].trial(subject)
