--- a/src/crankseam/quarantine/parts.py
+++ b/src/crankseam/quarantine/parts.py
@@ -11,7 +11,7 @@
 
 from crankseam.coordination.follower import PrefixFollower
 from crankseam.coordination.interface import TransactionStore
-from crankseam.quarantine.publisher import PeerTeller, SuspectPublisher
+from crankseam.quarantine.publisher import PeerBroadcast, SuspectPublisher
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.suspect_store import SuspectStore
 from crankseam.quarantine.table import SuspectTable
@@ -39,7 +39,7 @@
 def make_quarantine(
     store: TransactionStore,
     state_prefix: str,
-    tell_peers: PeerTeller,
+    broadcast: PeerBroadcast,
     supervisor: Supervisor,
     is_sweeper: Callable[[], bool] = lambda: True,
     is_followed: bool = True,
@@ -55,6 +55,6 @@
     """
     suspects = SuspectStore(store, state_prefix)
     table = SuspectTable()
-    publisher = SuspectPublisher(suspects, table, tell_peers, is_followed)
+    publisher = SuspectPublisher(suspects, table, broadcast, is_followed)
     quarantine = Quarantine(suspects, table, publisher, supervisor.once, is_sweeper)
     return QuarantineParts(table, publisher, quarantine)
--- a/src/crankseam/quarantine/publisher.py
+++ b/src/crankseam/quarantine/publisher.py
@@ -1,7 +1,7 @@
-"""Makes suspects known to all processes: through the store, and by messages while it is away.
+"""Publishes suspects to all processes through the store, and by messages while it is unavailable.
 
-Owns what this process saw and the store has not taken. Relies on `SuspectStore` for the write, and
-on the caller's `PeerTeller` for the messages.
+Owns the records that this process created and the store has not taken yet. Relies on `SuspectStore`
+for the writes, and on the caller's `PeerBroadcast` for the messages.
 """
 
 from __future__ import annotations
@@ -21,108 +21,111 @@
 
 log = logging.getLogger(__name__)
 
-STORE_PATIENCE_S = 0.3
-"""A store that has not answered by then is away: the other processes are told directly."""
+STORE_TIMEOUT_S = 0.3
+"""Time limit of a write. A store that does not answer within it counts as unavailable, and the
+record is sent to the other processes directly."""
 RETRY_BASE_S = 0.2
-"""Longest pause, in seconds, after the first failed write; it doubles with each. Origin not
-recorded."""
+"""Upper bound of the random pause after the first failed write; it doubles with each failure."""
 RETRY_CAP_S = 2.0
-"""Seconds that the pause does not exceed. Origin not recorded."""
+"""Limit of that upper bound."""
 
-MOST_DROPPED = 16
-"""So many that gave way are removed by one write; with more, the oldest stay until their time is
-over."""
+MAX_EVICTIONS = 16
+"""Number of evicted suspects that one write removes from the store. If more were evicted since the
+last write, the oldest stay in the store until their retention is over."""
 
-PeerTeller = Callable[[bytes], Awaitable[None]]
-"""Sends bytes to all other processes; one that can't be reached is left out."""
+PeerBroadcast = Callable[[bytes], Awaitable[None]]
+"""Sends bytes to all other processes; processes that cannot be reached are skipped."""
 
 
 class SuspectPublisher:
-    """Brings what this process saw to all others.
+    """Publishes the crashes seen by this process to all others.
 
     Explanation
     ===========
 
-    One write makes a suspect known: every process follows the store's prefix of states, and the
-    record outlives them all. While the store does not answer, the other processes are told by
-    messages, once for each change, and the write is tried until it is done.
+    One write makes a suspect known to all processes that follow the store's state prefix, and the
+    stored record survives their restarts. While the store does not answer, each change is sent once
+    to the other processes in a message, and the write is retried until it succeeds.
 
     Parameters
     ==========
 
-    is_followed : whether every process follows the store; else peers are told of each change.
+    is_followed : whether every process follows the store. If not, each change that the store has
+        taken is also sent to the peers.
     """
 
     def __init__(
         self,
         store: SuspectStore,
         table: SuspectTable,
-        tell_peers: PeerTeller,
+        broadcast: PeerBroadcast,
         is_followed: bool = True,
     ) -> None:
         self._store = store
         self._table = table
-        self._tell_peers = tell_peers
+        self._broadcast = broadcast
         self._is_followed = is_followed
-        self._unannounced = SuspectNews()
-        self._waiting: dict[str, SuspectRecord] = {}
-        self._told: dict[str, SuspectRecord] = {}
-        """What peers were told and the store has not taken, by fingerprint."""
-        self._dropped: list[str] = []
-        """Fingerprints that gave way to others and are to leave the store."""
+        self._unsent_news = SuspectNews()
+        self._unwritten: dict[str, SuspectRecord] = {}
+        self._sent_records: dict[str, SuspectRecord] = {}
+        """Records sent to peers that the store has not taken yet, by fingerprint."""
+        self._evicted: list[str] = []
+        """Fingerprints evicted from the table that still have to be removed from the store."""
         self._wake = asyncio.Event()
 
     def publish(self, fingerprint: str, record: SuspectRecord) -> None:
-        """Make ends known; at once here, soon everywhere."""
-        self._dropped += self._table.apply_unstored(fingerprint, record)
-        del self._dropped[:-MOST_DROPPED]
-        known = self._waiting.get(fingerprint)
-        self._waiting[fingerprint] = record if known is None else known.with_crashes(record.ended)
-        while len(self._waiting) > MAX_SUSPECTS:
-            del self._waiting[next(iter(self._waiting))]
+        """Adds a record's crashes to the table and queues them for the store and the peers."""
+        self._evicted += self._table.apply_unstored(fingerprint, record)
+        del self._evicted[:-MAX_EVICTIONS]
+        known = self._unwritten.get(fingerprint)
+        self._unwritten[fingerprint] = record if known is None else known.with_crashes(record.ended)
+        while len(self._unwritten) > MAX_SUSPECTS:
+            del self._unwritten[next(iter(self._unwritten))]
         self._wake.set()
 
-    def withdraw(self, fingerprint: str) -> None:
-        """It is no suspect any more."""
-        self._waiting.pop(fingerprint, None)
-        self._told.pop(fingerprint, None)
+    def discard_unwritten(self, fingerprint: str) -> None:
+        """Drops the record that is queued for the store, if any."""
+        self._unwritten.pop(fingerprint, None)
+        self._sent_records.pop(fingerprint, None)
 
     def stored(self, fingerprint: str, record: SuspectRecord, revision: int) -> None:
-        """The store holds a record in this state: take it, and announce it if need be."""
+        """Applies a record that the store now holds, and queues it for the peers if they do not
+        follow the store."""
         self._table.apply_stored(fingerprint, record, revision)
         if not self._is_followed:
-            self._unannounced.records[fingerprint] = record
-            self._unannounced.revisions[fingerprint] = revision
+            self._unsent_news.records[fingerprint] = record
+            self._unsent_news.revisions[fingerprint] = revision
             self._wake.set()
 
     def released(self, fingerprint: str) -> None:
-        """It is no suspect any more: announce it if need be."""
-        self.withdraw(fingerprint)
+        """Drops a released suspect's queued record, and queues its release for the peers if they do
+        not follow the store."""
+        self.discard_unwritten(fingerprint)
         if not self._is_followed:
-            self._unannounced.records.pop(fingerprint, None)
-            self._unannounced.released.append(fingerprint)
+            self._unsent_news.records.pop(fingerprint, None)
+            self._unsent_news.released.append(fingerprint)
             self._wake.set()
 
     async def run(self) -> None:
-        """Publish until cancelled."""
+        """Publishes queued records until cancelled."""
         backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         while True:
             await self._wake.wait()
             self._wake.clear()
-            all_written = await self._write_all()
-            await self._announce()
+            all_written = await self._write_records()
+            await self._broadcast_stored()
             if all_written:
                 backoff.reset()
                 continue
-            await self._tell_news()
+            await self._broadcast_unwritten()
             await asyncio.sleep(backoff.next_delay())
             self._wake.set()
 
-    async def _write_all(self) -> bool:
-        """Write what waits; False if the store does not answer."""
-        for fingerprint, record in list(self._waiting.items()):
+    async def _write_records(self) -> bool:
+        """Writes the queued records to the store; returns False after the first failed write."""
+        for fingerprint, record in list(self._unwritten.items()):
             try:
-                async with asyncio.timeout(STORE_PATIENCE_S):
+                async with asyncio.timeout(STORE_TIMEOUT_S):
                     await self._write(fingerprint, record)
             except (KeyValueError, TimeoutError) as error:
                 log.warning(
@@ -130,8 +133,8 @@
                     extra={"fingerprint": fingerprint, "error": type(error).__name__},
                 )
                 return False
-            if self._waiting.get(fingerprint) == record:
-                self.withdraw(fingerprint)
+            if self._unwritten.get(fingerprint) == record:
+                self.discard_unwritten(fingerprint)
         return True
 
     async def _write(self, fingerprint: str, record: SuspectRecord) -> None:
@@ -139,9 +142,9 @@
         revision = known.revision if known is not None else ABSENT
         if known is not None and revision != ABSENT:
             record = known.record.with_crashes(record.ended)
-        dropped = [one for one in self._dropped if one != fingerprint][:MOST_DROPPED]
-        stored, revision = await self._store.add(fingerprint, record, revision, dropped)
-        self._dropped = [one for one in self._dropped if one not in dropped]
+        evicted = [other for other in self._evicted if other != fingerprint][:MAX_EVICTIONS]
+        stored, revision = await self._store.add(fingerprint, record, revision, evicted)
+        self._evicted = [other for other in self._evicted if other not in evicted]
         self.stored(fingerprint, stored, revision)
         log.info(
             "suspect_stored",
@@ -154,26 +157,26 @@
             },
         )
 
-    async def _announce(self) -> None:
-        """Tell the other processes what the store holds, where they do not follow it."""
-        news, self._unannounced = self._unannounced, SuspectNews()
+    async def _broadcast_stored(self) -> None:
+        """Sends stored and released suspects to processes that do not follow the store."""
+        news, self._unsent_news = self._unsent_news, SuspectNews()
         if news.records or news.released:
-            await self._tell_peers(msgspec.msgpack.encode(news))
+            await self._broadcast(msgspec.msgpack.encode(news))
 
-    async def _tell_news(self) -> None:
-        """Tell the other processes what changed since they were told."""
+    async def _broadcast_unwritten(self) -> None:
+        """Sends the queued records that have changed since they were last sent to the peers."""
         news = {
             fingerprint: record
-            for fingerprint, record in self._waiting.items()
-            if self._told.get(fingerprint) != record
+            for fingerprint, record in self._unwritten.items()
+            if self._sent_records.get(fingerprint) != record
         }
         if not news:
             return
-        self._told |= news
-        await self._tell_peers(msgspec.msgpack.encode(SuspectNews(news)))
+        self._sent_records |= news
+        await self._broadcast(msgspec.msgpack.encode(SuspectNews(news)))
 
     async def serve(self, raw: bytes) -> bytes:
-        """Take what another process tells."""
+        """Applies an encoded `SuspectNews` from another process; the answer is empty."""
         news = msgspec.msgpack.decode(raw, type=SuspectNews)
         for fingerprint, record in news.records.items():
             revision = news.revisions.get(fingerprint, ABSENT)
