--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -1,8 +1,8 @@
-"""The suspects of a deployment, as one process sees and changes them.
+"""Holds, probes and releases suspects on behalf of one process.
 
-Owns the probes of this process, of which there is one at a time, and the removal of suspects that
-are released. Relies on `SuspectTable` for what is known, on `SuspectStore` for the compare-and-swap
-by which one process wins a probe, and on `SuspectPublisher` to tell the others.
+Owns this process's probe, at most one at a time, and the removal of released suspects from the
+store. Relies on `SuspectTable` for the suspects that are known, on `SuspectStore` for the
+compare-and-swap that grants a probe to one process, and on `SuspectPublisher` to notify the others.
 """
 
 from __future__ import annotations
@@ -21,32 +21,31 @@
 
 log = logging.getLogger(__name__)
 
-CLAIM_PATIENCE_S = 0.5
-"""A store that has not answered a claim by then gives no probe."""
+CLAIM_TIMEOUT_S = 0.5
+"""Time limit of a probe's claim; a store that does not answer within it grants no probe."""
 ANSWERED = "answered"
 EXPIRED = "expired"
 BY_OPERATOR = "operator"
-"""Causes of a release, as `suspect_released` tells them."""
-FORGET_LOOK_S = 30.0
-"""How often suspects whose time is over are looked for."""
-REMOVAL_TRIES = 6
-"""So often a release is written; after that the record goes when its time is over. Origin not
-recorded."""
+"""Causes of a release, logged with `suspect_released`."""
+EXPIRY_CHECK_INTERVAL_S = 30.0
+"""Interval between checks for suspects whose retention is over."""
+REMOVAL_ATTEMPTS = 6
+"""Attempts to remove a released suspect from the store. If all of them fail, the record stays there
+until its retention is over."""
 RETRY_BASE_S = 0.2
-"""Longest pause, in seconds, after the first failed removal; it doubles with each. Origin not
-recorded."""
+"""Upper bound of the random pause after the first failed removal; it doubles with every failure."""
 RETRY_CAP_S = 4.0
-"""Seconds that the pause does not exceed. Origin not recorded."""
+"""Limit of that upper bound."""
 
 
 class Quarantine:
-    """The suspects of a deployment, as one process sees and changes them.
+    """Finds, reports, probes and releases suspects on behalf of one process.
 
     Parameters
     ==========
 
-    run_once : runs work of a name in the background.
-    is_sweeper : whether this process removes suspects whose time is over.
+    run_once : runs a function in the background as a task of the given name.
+    is_sweeper : whether this process removes suspects whose retention is over.
     """
 
     def __init__(
@@ -63,35 +62,44 @@
         self._run_once = run_once
         self._is_sweeper = is_sweeper
         self._probing: set[str] = set()
-        """Fingerprints that this process tries now."""
+        """Fingerprints of the requests that this process is probing."""
 
     @property
     def prefix(self) -> str:
-        """Below which the store holds the suspects."""
+        """The key prefix of suspects in the store."""
         return self._store.prefix
 
     def suspects(self) -> list[tuple[str, Suspect]]:
-        """All that are known, by fingerprint; those that changed last first."""
+        """Returns all known suspects with their fingerprints, the most recently changed first."""
         return sorted(self._table, key=lambda pair: pair[1].changed_at, reverse=True)
 
     def find(self, subject: TrialSubject) -> Suspect | None:
-        """What is known of a request; costs nothing unless a suspect has a body of its length."""
+        """Returns the suspect that a request matches, if any.
+
+        The fingerprint is computed only if a suspect has a body of the same length.
+        """
         if not self._table.has_body_length(len(subject.body)):
             return None
         return self._table.find(subject.fingerprint)
 
-    # --- what trials tell
+    # --- reports and releases
 
-    def report(self, subject: TrialSubject, ended: list[str]) -> None:
-        """Back ends ended under a request: tell all processes."""
+    def report_crashes(self, subject: TrialSubject, ended: list[str]) -> None:
+        """Reports to all processes that back ends crashed under a request."""
         self._publisher.publish(subject.fingerprint, initial_record(subject, ended))
 
     def release_answered(self, subject: TrialSubject) -> None:
-        """A back end answered a request whole: it ends nobody."""
+        """Releases a request that a back end answered completely: it crashes no back end."""
         self.release(subject.fingerprint, ANSWERED)
 
     def release(self, fingerprint: str, cause: str) -> bool:
-        """It is no suspect any more, here at once and soon everywhere; whether it was one."""
+        """Releases a suspect, here at once and in all other processes soon after.
+
+        Returns
+        =======
+
+        Whether this process knew a suspect with this fingerprint.
+        """
         suspect = self._table.find(fingerprint)
         if suspect is None:
             return False
@@ -99,12 +107,14 @@
         self._publisher.released(fingerprint)
         log.info("suspect_released", extra={"fingerprint": fingerprint, "cause": cause})
         if suspect.revision != ABSENT:
-            self._run_once(lambda: self._remove(fingerprint, suspect.revision), "release suspect")
+            self._run_once(
+                lambda: self._remove_stored(fingerprint, suspect.revision), "release suspect"
+            )
         return True
 
-    async def _remove(self, fingerprint: str, revision: int) -> None:
+    async def _remove_stored(self, fingerprint: str, revision: int) -> None:
         backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
-        for _ in range(REMOVAL_TRIES):
+        for _ in range(REMOVAL_ATTEMPTS):
             try:
                 await self._store.remove(fingerprint, revision)
                 return
@@ -118,11 +128,11 @@
     # --- probes
 
     async def claim_probe(self, subject: TrialSubject) -> bool:
-        """Win the right to try a held request once; of all processes at most one does.
+        """Claims the right to send a held request once; at most one process succeeds.
 
-        A process tries one suspect at a time: the cause would end the back ends of others, which
-        were there by bad luck, once more. Healthy items waited 72 s so instead of 178 s in all,
-        over eight soaks of half a minute.
+        A process probes one suspect at a time. Otherwise the request that causes the crashes could
+        crash the back end of another probe, whose request is healthy. This reduced the total wait
+        of healthy items from 178 s to 72 s over eight soak runs of half a minute.
         """
         suspect = self._table.find(subject.fingerprint)
         if suspect is None or suspect.revision == ABSENT or suspect.held_for_s() > 0.0:
@@ -131,7 +141,7 @@
             return False
         record = suspect.record.with_probes(suspect.record.probes + 1)
         self._probing.add(subject.fingerprint)
-        if not await self._change(subject, record, suspect.revision):
+        if not await self._replace_record(subject, record, suspect.revision):
             self._probing.discard(subject.fingerprint)
             return False
         log.info(
@@ -145,25 +155,27 @@
         )
         return True
 
-    def probe_over(self, subject: TrialSubject) -> None:
-        """What came of a probe is known, or it is given up."""
+    def finish_probe(self, subject: TrialSubject) -> None:
+        """Ends this process's probe of a request, whether it has an outcome or is abandoned."""
         self._probing.discard(subject.fingerprint)
 
-    def give_back_probe(self, subject: TrialSubject) -> None:
-        """The request was not sent after all: the probe does not count."""
-        self._run_once(lambda: self._give_back(subject), "give back probe")
+    def return_probe(self, subject: TrialSubject) -> None:
+        """Returns a claimed probe that no back end has run, so that it does not count."""
+        self._run_once(lambda: self._return_probe(subject), "give back probe")
 
-    async def _give_back(self, subject: TrialSubject) -> None:
+    async def _return_probe(self, subject: TrialSubject) -> None:
         suspect = self._table.find(subject.fingerprint)
         if suspect is not None and suspect.record.probes:
             record = suspect.record.with_probes(suspect.record.probes - 1)
-            await self._change(subject, record, suspect.revision)
+            await self._replace_record(subject, record, suspect.revision)
 
-    async def _change(self, subject: TrialSubject, record: SuspectRecord, revision: int) -> bool:
+    async def _replace_record(
+        self, subject: TrialSubject, record: SuspectRecord, revision: int
+    ) -> bool:
         fingerprint = subject.fingerprint
         try:
-            async with asyncio.timeout(CLAIM_PATIENCE_S):
-                changed = await self._store.replace(fingerprint, record, revision)
+            async with asyncio.timeout(CLAIM_TIMEOUT_S):
+                new_revision = await self._store.replace(fingerprint, record, revision)
         except TransactionConflict as conflict:
             for entry in conflict.found.values():
                 self.state_changed(entry.key, entry)
@@ -174,13 +186,13 @@
                 extra={"fingerprint": fingerprint, "error": type(error).__name__},
             )
             return False
-        self._publisher.stored(fingerprint, record, changed)
+        self._publisher.stored(fingerprint, record, new_revision)
         return True
 
-    # --- what the store says
+    # --- changes in the store
 
     def state_changed(self, key: str, entry: Entry | None) -> None:
-        """Take a change below the suspects' prefix."""
+        """Applies a change of a suspect's key; `entry` is None if the key was removed."""
         fingerprint = self._store.fingerprint_of_key(key)
         if entry is None:
             self._table.remove(fingerprint)
@@ -193,7 +205,10 @@
         self._table.apply_stored(fingerprint, record, entry.revision)
 
     def take_all(self, entries: list[Entry]) -> None:
-        """Take a reading of all that the store holds."""
+        """Applies a complete reading of the suspects in the store.
+
+        Suspects that are no longer stored are removed; suspects that were never stored are kept.
+        """
         found = {self._store.fingerprint_of_key(entry.key) for entry in entries}
         for fingerprint, suspect in self._table:
             if fingerprint not in found and suspect.revision != ABSENT:
@@ -202,9 +217,9 @@
             self.state_changed(entry.key, entry)
 
     async def run(self) -> None:
-        """Forget suspects whose time is over, until cancelled."""
+        """Releases suspects whose retention is over, until cancelled."""
         while True:
-            await asyncio.sleep(FORGET_LOOK_S)
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
             for fingerprint, suspect in self._table:
                 if suspect.has_expired() and self._is_sweeper():
                     self.release(fingerprint, EXPIRED)
--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/trial.py
@@ -171,26 +171,26 @@
     def _end_probe(self) -> None:
         if self._is_probe:
             self._is_probe = False
-            self._quarantine.probe_over(self.subject)
+            self._quarantine.finish_probe(self.subject)
 
-    def report(self) -> None:
+    def report_crashes(self) -> None:
         """Tell all processes of the ends so far."""
         if self._unreported:
-            self._quarantine.report(self.subject, self._unreported)
+            self._quarantine.report_crashes(self.subject, self._unreported)
             self._unreported = []
 
     def report_if_held(self) -> None:
         """Tell all processes, once as many back ends ended as may."""
         if not self._running and not self.may_send():
-            self.report()
+            self.report_crashes()
 
     def abandon(self) -> None:
         """No more is sent; a probe that was not used is another process's."""
         if self._is_probe and not self._has_run:
-            self._quarantine.give_back_probe(self.subject)
+            self._quarantine.return_probe(self.subject)
         self._end_probe()
 
     def close(self) -> None:
         """No more is sent: tell of ends that nothing speaks against."""
-        self.report()
+        self.report_crashes()
         self.abandon()
