--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/trial.py
@@ -1,8 +1,10 @@
-"""One request's way past the quarantine: asked before each send, told what came of it.
+"""Applies the quarantine to one request: decides before each send, and records each outcome.
 
-Owns the ends under one request that are not reported yet, and its probe if it is one. Relies on
-`holding` for each decision, and on the `Quarantine` for what is known and for the right to probe.
-Shown by: `request_held`, `item_held`. Held by: tests/quarantine/test_trial.py.
+Owns the crashes under one request that are not reported yet, and the request's probe while it has
+one. Relies on `holding` for each decision, and on the `Quarantine` for known suspects and for the
+right to probe.
+Logged as: `request_held`, `item_held`.
+Tested by: tests/quarantine/test_trial.py.
 """
 
 from __future__ import annotations
@@ -25,22 +27,23 @@
 
 @dataclass(slots=True)
 class Send:
-    """What came of one send; at most one of these is set."""
+    """The outcome of one send; at most one field is set."""
 
     was_not_run: bool = False
     was_answered: bool = False
-    """It was answered whole, by no failure."""
+    """The back end answered completely, and the answer is not a failure."""
     ended_id: str = ""
-    """Id of the back end, if it ended under the request."""
+    """Id of the back end if it crashed under the request; otherwise empty."""
 
 
 class Trial:
-    """A caller's attempt, an item's run or a scoring request.
+    """The sends of one caller's request, item or scoring request, and their outcomes.
 
     Parameters
     ==========
 
-    most_ends : back ends that may end under the request, over all processes, before it is held.
+    crash_limit : number of back ends, over all processes, that crash under the request before it
+        is held.
     """
 
     def __init__(self, quarantine: Quarantine, subject: TrialSubject, crash_limit: int) -> None:
@@ -48,33 +51,33 @@
         self.subject = subject
         self._crash_limit = crash_limit
         self.ended: list[str] = []
-        """Back ends that ended under this trial."""
+        """Ids of the back ends that crashed under this trial."""
         self._unreported: list[str] = []
-        self._running = 0
-        """Sends that are under way."""
+        self._in_flight = 0
+        """Number of sends in flight."""
         self._is_probe = False
-        self._has_run = False
-        """Whether a back end may have begun it since the probe was won."""
+        self._may_have_run = False
+        """Whether a back end may have run the request since the probe was claimed."""
 
-    # --- may it be sent
+    # --- before a send
 
-    def _held(self) -> Suspect | None:
-        """What is known of the request, if it is held back."""
+    def _held_suspect(self) -> Suspect | None:
+        """Returns the suspect that the request matches, if it is held."""
         suspect = self._quarantine.find(self.subject)
         if suspect is None or not suspect.record.is_held(self._crash_limit):
             return None
         return suspect
 
     async def admit(self) -> None:
-        """Let a caller's request in, as a probe if need be.
+        """Admits a caller's request; a held one only if this process claims its probe.
 
         Raises
         ======
 
-        RequestHeld : it is held back, and was sent to nobody.
+        RequestHeld : the request is held and was not sent to any back end.
         """
-        suspect = self._held()
-        if suspect is None or await self._win_probe(suspect):
+        suspect = self._held_suspect()
+        if suspect is None or await self._claim_probe(suspect):
             return
         retry_after_s = holding.retry_after_s(suspect.held_for_s())
         log.info(
@@ -92,12 +95,12 @@
         raise RequestHeld(detail, OUTCOME_NOT_RUN, retry_after_s)
 
     def is_admitted(self) -> bool:
-        """Whether an item or a scoring request may be sent now."""
-        return self._is_probe or self._held() is None
+        """Whether an item or a scoring request is not held, or may be sent as a probe."""
+        return self._is_probe or self._held_suspect() is None
 
     async def wait_admitted(self) -> None:
-        """Wait until an item or a scoring request may be sent."""
-        suspect = self._held()
+        """Waits until an item or a scoring request is released or this process claims its probe."""
+        suspect = self._held_suspect()
         if suspect is None or self._is_probe:
             return
         log.info(
@@ -109,49 +112,52 @@
                 "probes": suspect.record.probes,
             },
         )
-        while suspect is not None and not await self._win_probe(suspect):
+        while suspect is not None and not await self._claim_probe(suspect):
             await asyncio.sleep(holding.probe_pause_s(suspect.held_for_s()))
-            suspect = self._held()
+            suspect = self._held_suspect()
 
-    async def _win_probe(self, suspect: Suspect) -> bool:
+    async def _claim_probe(self, suspect: Suspect) -> bool:
         if suspect.held_for_s() > 0.0:
             return False
         self._is_probe = await self._quarantine.claim_probe(self.subject)
-        self._has_run = False
+        self._may_have_run = False
         return self._is_probe
 
     def may_send(self) -> bool:
-        """Whether it may be sent once more, beside the sends that are under way.
+        """Whether the request may be sent once more, in addition to the sends in flight.
 
-        Each of these may end its back end too.
+        Each send in flight may still crash its back end. A probe is sent to one back end at a time.
         """
         if self._is_probe:
-            return not self._running
+            return not self._in_flight
         ended = set(self.ended)
         suspect = self._quarantine.find(self.subject)
         if suspect is not None:
             ended.update(suspect.record.ended)
-        return holding.may_send_again(len(ended), self._running, self._crash_limit)
+        return holding.may_send_again(len(ended), self._in_flight, self._crash_limit)
 
-    # --- what came of it
+    # --- outcomes
 
     @contextmanager
     def sending(self) -> Iterator[Send]:
-        """While it is at a back end. Left without a word, the back end goes on without it."""
-        self._running += 1
-        self._has_run = True
+        """Counts a send as in flight, and applies the outcome that is set on the yielded `Send`.
+
+        If none is set, the outcome is unknown: the back end may still be running the request.
+        """
+        self._in_flight += 1
+        self._may_have_run = True
         send = Send()
         try:
             yield send
         finally:
-            self._running -= 1
-            self._take(send)
+            self._in_flight -= 1
+            self._apply_outcome(send)
 
-    def _take(self, send: Send) -> None:
+    def _apply_outcome(self, send: Send) -> None:
         if send.was_not_run:
-            self._has_run = False
+            self._may_have_run = False
         elif send.ended_id:
-            self._end_probe()
+            self._finish_probe()
             self.ended.append(send.ended_id)
             self._unreported.append(send.ended_id)
         elif send.was_answered:
@@ -160,37 +166,38 @@
                 self._quarantine.release_answered(self.subject)
 
     def progressed(self) -> None:
-        """A back end made something of it since: the ends so far were not its doing."""
+        """Clears the crashes of this trial: a back end made progress, so the request did not cause
+        them. If the request is a probe, it is released."""
         if self.ended or self._is_probe:
             self.ended.clear()
             self._unreported.clear()
             if self._is_probe:
-                self._end_probe()
+                self._finish_probe()
                 self._quarantine.release_answered(self.subject)
 
-    def _end_probe(self) -> None:
+    def _finish_probe(self) -> None:
         if self._is_probe:
             self._is_probe = False
             self._quarantine.finish_probe(self.subject)
 
     def report_crashes(self) -> None:
-        """Tell all processes of the ends so far."""
+        """Reports the crashes that are not reported yet to all processes."""
         if self._unreported:
             self._quarantine.report_crashes(self.subject, self._unreported)
             self._unreported = []
 
     def report_if_held(self) -> None:
-        """Tell all processes, once as many back ends ended as may."""
-        if not self._running and not self.may_send():
+        """Reports the crashes once the request may not be sent again and no send is in flight."""
+        if not self._in_flight and not self.may_send():
             self.report_crashes()
 
     def abandon(self) -> None:
-        """No more is sent; a probe that was not used is another process's."""
-        if self._is_probe and not self._has_run:
+        """Ends the trial; a probe that no back end has run is returned for others to claim."""
+        if self._is_probe and not self._may_have_run:
             self._quarantine.return_probe(self.subject)
-        self._end_probe()
+        self._finish_probe()
 
     def close(self) -> None:
-        """No more is sent: tell of ends that nothing speaks against."""
+        """Ends the trial, and reports crashes that no later progress has cleared."""
         self.report_crashes()
         self.abandon()
