--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -1,6 +1,6 @@
-"""What every way of sending work to back ends asks of the quarantine.
+"""The interface to the quarantine for code that sends work to back ends.
 
-Owns nothing: joins the quarantine with the evidence that a back end ended (`EndedBackEnds`).
+Owns no state: combines the quarantine with the detection of crashed back ends (`EndedBackEnds`).
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 
 class CrashGuard:
-    """Trials of requests, and which back ends ended under them.
+    """Creates the trials of requests, and detects back ends that crashed under them.
 
     Parameters
     ==========
 
-    ends : tells a back end that ended from one whose connection broke.
+    ended_back_ends : distinguishes a crashed back end from a broken connection.
     """
 
-    def __init__(self, quarantine: Quarantine, ends: EndedBackEnds) -> None:
+    def __init__(self, quarantine: Quarantine, ended_back_ends: EndedBackEnds) -> None:
         self._quarantine = quarantine
-        self._ends = ends
+        self._ended_back_ends = ended_back_ends
 
     def begin(self, subject: TrialSubject, crash_limit: int) -> Trial:
-        """The trial of a request that is about to be sent."""
+        """Returns the trial of a request that is about to be sent."""
         return Trial(self._quarantine, subject, crash_limit)
 
     async def ended_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
-        """The id of a back end that ended under an attempt; empty if it did not."""
-        if not failure.lost_connection or not await self._ends.has_ended(back_end):
+        """Returns the id of a back end that crashed under an attempt; empty if it did not crash."""
+        if not failure.lost_connection or not await self._ended_back_ends.has_ended(back_end):
             return ""
         return back_end.record.id
 
     def rejected(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
-        """A back end rejected a request: perhaps another one stands at its address."""
+        """Records a rejection; one for a wrong instance shows another back end at the address."""
         if refusal.wrong_instance:
-            self._ends.found_another(back_end)
+            self._ended_back_ends.found_another(back_end)
