--- a/src/crankseam/quarantine/__init__.py
+++ b/src/crankseam/quarantine/__init__.py
@@ -1,4 +1,6 @@
-"""Requests that end the back ends which run them: recognized when they return, and held back.
+"""Quarantine of requests that crash the back ends which run them.
 
-When a request is held back and how it is released: `holding`. What a sender calls: `trial`.
+A request under which a back end crashed is a suspect. It is recognized by its fingerprint when it
+is sent again. Once enough back ends crashed under it, it is held: it is sent to no back end, except
+as a probe, until it is released. `holding` has the rules; senders use `trial` and `crash_guard`.
 """
