--- a/src/crankseam/quarantine/parts.py
+++ b/src/crankseam/quarantine/parts.py
@@ -1,7 +1,8 @@
-"""The parts of a process's quarantine, wired to a store and to the other processes.
+"""Builds the quarantine of a process, connected to a store and to the other processes.
 
-Owns the choice of parts; a front and the product's own node differ only in how a process learns of
-the others' suspects: by following the store, or by what peers tell.
+Owns the choice of components. A front and a node use the same ones; they differ only in how a
+process learns of suspects from other processes: a front follows the store, and a node receives
+messages from its peers.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 
 @dataclass(frozen=True)
 class QuarantineParts:
-    """What one process needs to hold suspects back."""
+    """The components of one process's quarantine."""
 
     table: SuspectTable
     publisher: SuspectPublisher
     quarantine: Quarantine
 
     def follow(self, state: PrefixFollower) -> None:
-        """Learn of suspects by a follower of the prefix of states."""
+        """Subscribes to changes of suspects through a follower of the state prefix."""
         state.listen(self.quarantine.prefix, self.quarantine.state_changed)
 
     def start(self, supervisor: Supervisor) -> None:
-        """Start the background work."""
+        """Starts publishing suspects and releasing expired ones in the background."""
         supervisor.keep(self.publisher.run, "publish suspects")
         supervisor.keep(self.quarantine.run, "forget suspects")
 
@@ -44,14 +45,16 @@
     is_sweeper: Callable[[], bool] = lambda: True,
     is_followed: bool = True,
 ) -> QuarantineParts:
-    """The quarantine of a process.
+    """Builds the quarantine of a process.
 
     Parameters
     ==========
 
-    state_prefix : the prefix that every process follows.
-    is_sweeper : whether this process removes suspects whose time is over.
-    is_followed : whether every process follows the store's prefix of states.
+    state_prefix : the key prefix of deployment state in the store.
+    broadcast : sends bytes to all other processes.
+    is_sweeper : whether this process removes suspects whose retention is over.
+    is_followed : whether every process follows the state prefix; if not, each stored change is also
+        sent to the peers.
     """
     suspects = SuspectStore(store, state_prefix)
     table = SuspectTable()
