--- a/src/crankseam/quarantine/suspect_store.py
+++ b/src/crankseam/quarantine/suspect_store.py
@@ -1,8 +1,8 @@
 """Stores suspect requests in the coordination store: one key each, changed by compare-and-swap.
 
-The key `state/suspect/FINGERPRINT` holds a `SuspectRecord`. Every process follows the state prefix
-anyway, so one write makes a suspect known to all of them. The record survives the restart of any
-or all processes.
+The key `state/suspect/FINGERPRINT` holds a `SuspectRecord`. One write makes a suspect known to all
+processes that follow the state prefix, and they follow it for other reasons anyway. The record
+survives the restart of any or all processes.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     Parameters
     ==========
 
-    state_prefix : the key prefix that every process follows.
+    state_prefix : the key prefix of deployment state in the store.
     """
 
     def __init__(self, store: TransactionStore, state_prefix: str) -> None:
