--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -131,8 +131,9 @@
         """Claims the right to send a held request once; at most one process succeeds.
 
         A process probes one suspect at a time. Otherwise the request that causes the crashes could
-        crash the back end of another probe, whose request is healthy. This reduced the total wait
-        of healthy items from 178 s to 72 s over eight soak runs of half a minute.
+        crash a back end that runs the probe of a healthy request, and so count as another crash
+        against that one. This limit reduced the total wait of healthy items from 178 s to 72 s over
+        eight soak runs of half a minute.
         """
         suspect = self._table.find(subject.fingerprint)
         if suspect is None or suspect.revision == ABSENT or suspect.held_for_s() > 0.0:
