--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -1,4 +1,4 @@
-"""Parts of a quarantine for tests."""
+"""Builders and fakes for the quarantine tests."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 from crankseam_standins.memory_store import MemoryStore
 from tests.support.waiting import eventually
 
-STATE = "state/"
-WATCH_S = 0.2
+STATE_PREFIX = "state/"
+WATCH_WAIT_S = 0.2
 
 
-class ScriptedAddresses:
-    """Back ends whose ids are in `ended` refuse connections."""
+class FakeAddressProbe:
+    """Address probe at which back ends whose ids are in `ended` refuse connections."""
 
     def __init__(self):
         self.ended = set()
@@ -27,14 +27,14 @@
         return back_end.record.id in self.ended
 
 
-async def tell_nobody(raw):
-    """For a process without peers."""
+async def discard_broadcast(raw):
+    """Broadcast function of a process without peers."""
 
 
 def make_guard(registry, addresses=None, store=None):
-    """A guard whose quarantine nobody else shares; nothing of it runs in the background."""
-    parts = make_quarantine(store or MemoryStore(), STATE, tell_nobody, Supervisor())
-    return CrashGuard(parts.quarantine, EndedBackEnds(registry, addresses or ScriptedAddresses()))
+    """Builds a guard with a quarantine of its own, of which no background task is started."""
+    parts = make_quarantine(store or MemoryStore(), STATE_PREFIX, discard_broadcast, Supervisor())
+    return CrashGuard(parts.quarantine, EndedBackEnds(registry, addresses or FakeAddressProbe()))
 
 
 def make_subject(body=b"body", request_id="r1", tenant="t"):
@@ -42,30 +42,30 @@
 
 
 class Process:
-    """One process's quarantine, on a store that it shares with others."""
+    """One process's quarantine, on a store that may be shared with other processes."""
 
     def __init__(self, store, others=()):
         self.supervisor = Supervisor()
-        self.state = PrefixFollower(store, STATE, lambda key, entry: None, WATCH_S)
+        self.state = PrefixFollower(store, STATE_PREFIX, lambda key, entry: None, WATCH_WAIT_S)
         self.peers = list(others)
-        self.told = 0
-        parts = make_quarantine(store, STATE, self._tell, self.supervisor)
+        self.broadcast_count = 0
+        parts = make_quarantine(store, STATE_PREFIX, self._broadcast, self.supervisor)
         self.table, self.publisher, self.quarantine = parts.table, parts.publisher, parts.quarantine
         parts.follow(self.state)
         parts.start(self.supervisor)
         self.supervisor.keep(self.state.run, "follow")
 
-    async def _tell(self, raw):
-        self.told += 1
+    async def _broadcast(self, raw):
+        self.broadcast_count += 1
         for peer in self.peers:
             await peer.publisher.serve(raw)
 
     def trial(self, subject=None, crash_limit=2):
         return Trial(self.quarantine, subject or make_subject(), crash_limit)
 
-    def knows(self, subject=None, ends=1):
+    def knows(self, subject=None, crashes=1):
         found = self.table.find((subject or make_subject()).fingerprint)
-        return found is not None and len(found.record.ended) >= ends
+        return found is not None and len(found.record.ended) >= crashes
 
     async def ready(self):
         await self.state.wait_synchronized()
@@ -75,11 +75,11 @@
         await self.supervisor.stop()
 
 
-async def known_everywhere(processes, subject=None, ends=1):
-    await eventually(lambda: all(one.knows(subject, ends) for one in processes), "known")
+async def wait_known_everywhere(processes, subject=None, crashes=1):
+    await eventually(lambda: all(process.knows(subject, crashes) for process in processes), "known")
 
 
 def send(trial, ended="", answered=False, not_run=False):
-    """One send of a trial, with what came of it."""
+    """Makes one send of a trial with the given outcome."""
     with trial.sending() as sent:
         sent.ended_id, sent.was_answered, sent.was_not_run = ended, answered, not_run
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -22,7 +22,7 @@
 
 
 def request_fingerprint(request):
-    """As the forwarder asks for it."""
+    """Returns the fingerprint that the forwarder computes."""
     return trial_subject(request, ROUTE).fingerprint
 
 
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Monotonic time that tests move."""
+    """Monotonic clock that a test advances."""
 
     def __init__(self):
         self.now = 1000.0
--- a/tests/quarantine/test_trial.py
+++ b/tests/quarantine/test_trial.py
@@ -6,20 +6,20 @@
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
 from crankseam_standins.memory_store import MemoryStore
-from tests.quarantine.factories import Process, known_everywhere, make_subject, send
+from tests.quarantine.factories import Process, make_subject, send, wait_known_everywhere
 from tests.support.waiting import eventually
 
 
 @pytest.fixture
 async def processes():
     store = MemoryStore()
-    made = [Process(store) for _ in range(3)]
-    for one in made:
-        one.store = store
-        await one.ready()
-    yield made
-    for one in made:
-        await one.stop()
+    started = [Process(store) for _ in range(3)]
+    for process in started:
+        process.store = store
+        await process.ready()
+    yield started
+    for process in started:
+        await process.stop()
 
 
 @pytest.fixture
@@ -28,37 +28,37 @@
     monkeypatch.setattr(holding, "PROBE_RETRY_S", 0.05)
 
 
-async def hold(processes, subject=None, ends=("b1", "b2")):
-    """Let back ends end under a request, each at another process."""
-    for number, ended in enumerate(ends):
-        one = processes[number % len(processes)].trial(subject)
-        send(one, ended=ended)
-        one.close()
-    await known_everywhere(processes, subject, len(ends))
+async def hold(processes, subject=None, crashes=("b1", "b2")):
+    """Lets the given back ends crash under a request, each at another process."""
+    for number, ended in enumerate(crashes):
+        trial = processes[number % len(processes)].trial(subject)
+        send(trial, ended=ended)
+        trial.close()
+    await wait_known_everywhere(processes, subject, len(crashes))
 
 
 async def test_ends_at_several_processes_count_together(processes):
     first = processes[0].trial()
     send(first, ended="b1")
-    assert first.may_send(), "a crash broke it: the second try serves a healthy one"
+    assert first.may_send(), "a request interrupted by one crash gets a second attempt"
     first.close()
-    await known_everywhere(processes)
+    await wait_known_everywhere(processes)
     second = processes[1].trial()
     assert second.may_send()
     send(second, ended="b2")
     assert not second.may_send()
     second.close()
-    await known_everywhere(processes, ends=2)
+    await wait_known_everywhere(processes, crashes=2)
     with pytest.raises(RequestHeld) as held:
         await processes[2].trial().admit()
     assert held.value.outcome == OUTCOME_NOT_RUN and 0 < held.value.retry_after <= 3.0
 
 
 async def test_the_same_end_told_twice_counts_once(processes):
-    await hold(processes, ends=("b1", "b1", "b1")[:1])
-    one = processes[1].trial()
-    send(one, ended="b1")
-    assert one.may_send()
+    await hold(processes, crashes=("b1", "b1", "b1")[:1])
+    trial = processes[1].trial()
+    send(trial, ended="b1")
+    assert trial.may_send()
 
 
 async def test_a_held_request_is_tried_by_one_process_at_a_time(processes, short_holds):
@@ -69,11 +69,11 @@
     assert [type(one) for one in results].count(RequestHeld) == 2
     winner = trials[results.index(None)]
     with winner.sending() as sent:
-        assert not winner.may_send(), "one back end at a time"
+        assert not winner.may_send(), "a probe is sent to one back end at a time"
         sent.ended_id = "b3"
     assert not winner.may_send()
     winner.close()
-    await known_everywhere(processes, ends=3)
+    await wait_known_everywhere(processes, crashes=3)
 
 
 async def test_each_probe_makes_the_hold_longer_and_the_last_ends_it(processes, short_holds):
@@ -88,11 +88,12 @@
         await probe.admit()
         send(probe, ended=f"p{number}")
         probe.close()
-        ends, probes = 3 + number, number + 1
+        crashes, probes = 3 + number, number + 1
         await eventually(
-            lambda ends=ends, probes=probes: all(
-                one.knows(ends=ends) and one.table.find(fingerprint).record.probes == probes
-                for one in processes
+            lambda crashes=crashes, probes=probes: all(
+                process.knows(crashes=crashes)
+                and process.table.find(fingerprint).record.probes == probes
+                for process in processes
             )
         )
     assert holds == [0.05, 0.2, 0.8]
@@ -106,7 +107,7 @@
     await probe.admit()
     send(probe, answered=True)
     probe.close()
-    await eventually(lambda: not any(len(one.table) for one in processes), "freed")
+    await eventually(lambda: not any(len(process.table) for process in processes), "released")
     assert not [key for key in processes[0].store.entries if "suspect" in key]
 
 
@@ -115,7 +116,7 @@
     with running.sending() as sent:
         await hold(processes)
         sent.was_answered = True
-    await eventually(lambda: not any(len(one.table) for one in processes), "freed")
+    await eventually(lambda: not any(len(process.table) for process in processes), "released")
 
 
 async def test_a_probe_that_no_back_end_ran_does_not_count(processes, short_holds):
@@ -130,7 +131,8 @@
 
 
 async def test_a_process_tries_one_suspect_at_a_time(processes, short_holds):
-    """The cause would end the back ends of those that were there by bad luck once more."""
+    """Guards against two probes at once: the request that causes the crashes could crash a back end
+    that runs the probe of a healthy request, and so count as another crash against that one."""
     subjects = [make_subject(body=body) for body in (b"cause", b"other")]
     for subject in subjects:
         await hold(processes, subject)
@@ -170,22 +172,22 @@
 
 
 async def test_a_second_send_beside_one_counts_as_an_end_that_may_come(processes):
-    one = processes[0].trial()
-    with one.sending():
-        assert one.may_send()
-        with one.sending():
-            assert not one.may_send()
-    send(one, ended="b1")
-    with one.sending():
-        assert not one.may_send()
+    trial = processes[0].trial()
+    with trial.sending():
+        assert trial.may_send()
+        with trial.sending():
+            assert not trial.may_send()
+    send(trial, ended="b1")
+    with trial.sending():
+        assert not trial.may_send()
 
 
 async def test_a_send_that_is_cancelled_counts_no_more(processes):
-    one = processes[0].trial()
-    with pytest.raises(asyncio.CancelledError), one.sending():
+    trial = processes[0].trial()
+    with pytest.raises(asyncio.CancelledError), trial.sending():
         raise asyncio.CancelledError
-    with one.sending():
-        assert one.may_send()
+    with trial.sending():
+        assert trial.may_send()
 
 
 async def test_an_item_that_goes_on_is_no_suspect(processes):
@@ -209,7 +211,7 @@
         await item.wait_admitted()
     assert item.is_admitted() and item.may_send()
     send(item, answered=True)
-    await eventually(lambda: not any(len(one.table) for one in processes), "freed")
+    await eventually(lambda: not any(len(process.table) for process in processes), "released")
 
 
 async def test_others_are_not_touched(processes):
