--- a/src/crankseam/quarantine/holding.py
+++ b/src/crankseam/quarantine/holding.py
@@ -4,11 +4,11 @@
 by the store (as recent as the last answer of the watch); seconds since this process learned of the
 last change; sends of the request that are in flight here.
 Rule: A request is held, that is, sent to no back end, once the number of back ends that crashed
-under it reaches its limit (by default two; for an item three, without an event in between). After a
-hold of 3, 12 and 48 s, the process that wins the store's compare-and-swap sends the request once,
-as a probe, to one back end. A complete answer, or the first event of an item, releases the request
-in all processes. After three probes that crashed a back end, only an operator releases it, or it is
-forgotten after one day.
+under it reaches its limit (by default two; for an item three, without an event in between). A held
+request is probed up to three times, after holds of 3, 12 and 48 s: the process that wins the
+store's compare-and-swap sends it once, to one back end. A complete answer, or the first event of an
+item, releases the request in all processes. After three probes that crashed a back end, only an
+operator releases it, or it is forgotten after one day.
 Purpose: A request that crashes every back end cannot take down its service. Healthy requests that
 only shared a back end with it are released after the first hold.
 Logged as: `request_held`, `item_held`, `suspect_probed`, `suspect_released`.
@@ -41,8 +41,8 @@
 HELD_RETENTION_S = 86_400.0
 """Retention of a held request, counted from its last change."""
 UNSTORED_RETENTION_S = 60.0
-"""Retention of a record that was received from a peer but never stored; by then the
-process that sent it is assumed to have ended."""
+"""Retention of a record that was received from a peer but never stored; by then the process that
+sent it is assumed to have ended."""
 PROBE_RETRY_S = 0.5
 """Pause before a probe is requested again after the store did not grant it or granted it to
 another process."""
