--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -37,6 +37,6 @@
         return back_end.record.id
 
     def rejected(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
-        """Records a rejection; one for a wrong instance shows another back end at the address."""
+        """Handles a rejected request, which may show that another back end runs at the address."""
         if refusal.wrong_instance:
             self._ended_back_ends.found_another(back_end)
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -48,7 +48,7 @@
     ==========
 
     ended : ids of the back ends that crashed, each once.
-    probes : how often the request was sent as a probe since it is held.
+    probes : number of probes, that is, of sends since the request was first held.
     body_bytes : length of the request's body; requests with bodies of another length are known to
         differ without a digest.
     """
--- a/src/crankseam/quarantine/table.py
+++ b/src/crankseam/quarantine/table.py
@@ -18,7 +18,7 @@
 
 MAX_SUSPECTS = 1000
 """Maximum number of suspects, of about 300 bytes each. Suspects that are not held are evicted
-first, and among these the one that changed longest ago."""
+before held ones; within each group, the one that changed longest ago is evicted first."""
 
 
 @dataclass(slots=True)
