--- a/tests/platform/test_usage.py
+++ b/tests/platform/test_usage.py
@@ -40,7 +40,7 @@
 
 
 async def test_each_way_a_report_fails_is_told_apart(platform, caller, monkeypatch):
-    monkeypatch.setattr("crankseam_platform.duty_calls.CALL_S", 0.2)
+    monkeypatch.setattr("crankseam_platform.duty_calls.CALL_TIMEOUT_S", 0.2)
     platform.faults.throttle = 1
     with pytest.raises(DutyRefused):
         await caller.report_usage(7, {}, "front-1", 5)
