--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -344,7 +344,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE"])
 async def test_the_http_library_sends_nothing_again_by_itself(deployment, method):
-    """aiohttp repeats these methods when a kept-alive connection breaks: a request would run twice."""
+    """aiohttp repeats such requests if a kept-alive connection breaks: they would run twice."""
     await deployment.configure()
     front = await deployment.start_front()
     for sampler in deployment.samplers[1:]:
