--- a/tests/platform/test_job_calls.py
+++ b/tests/platform/test_job_calls.py
@@ -1,17 +1,17 @@
 import msgspec
-from crankseam_platform.job_calls import _as_many_as_fit, _Results
+from crankseam_platform.job_calls import _results_page, _Results
 
 from crankseam.jobs.model import ItemResult
 
 
 def test_a_page_of_results_on_the_wire():
-    """Written by the code that made it of plain dictionaries."""
+    """The expected bytes were written by an earlier encoder, which used plain dictionaries."""
     results = [
         ItemResult("i1", True, "text", [3, 4], "signature"),
         ItemResult("i2", True, "", []),
         ItemResult("i3", False),
     ]
-    page = msgspec.json.encode(_Results(9, 5, _as_many_as_fit(results)))
+    page = msgspec.json.encode(_Results(9, 5, _results_page(results)))
     assert page == (
         b'{"total":9,"next_token":5,"results":['
         b'{"id":"i1","state":"completed","text":"text","versions":[3,4],"score":"signature"},'
