--- a/tests/platform/test_job_calls.py
+++ b/tests/platform/test_job_calls.py
@@ -1,5 +1,5 @@
 import msgspec
-from crankseam_platform.job_calls import _results_page, _Results
+from crankseam_platform.job_calls import _Results, _results_page
 
 from crankseam.jobs.model import ItemResult
 
