--- a/tests/platform_bench/test_journal_plot.py
+++ b/tests/platform_bench/test_journal_plot.py
@@ -14,10 +14,10 @@
         entry(2, None, {"quiet-1": 0.1}, "run"),
         entry(3, 0.7, {"quiet-1": 0.6, "trouble-1": 0.8}),
     ]
-    for number, one in enumerate(entries):
-        (tmp_path / f"2026-{number}.json").write_text(json.dumps(one))
+    for number, content in enumerate(entries):
+        (tmp_path / f"2026-{number}.json").write_text(json.dumps(content))
     rounds = read_rounds(tmp_path)["a"]
     assert scores_by_day(rounds) == {"quiet-1": [0.4, 0.6], "trouble-1": [None, 0.8]}
-    picture = tmp_path / "plot.png"
-    assert plot_journal(tmp_path, picture) == {"a": [0.5, 0.7]}
-    assert picture.stat().st_size > 1000
+    plot_file = tmp_path / "plot.png"
+    assert plot_journal(tmp_path, plot_file) == {"a": [0.5, 0.7]}
+    assert plot_file.stat().st_size > 1000
