--- a/tests/platform_bench/test_losses.py
+++ b/tests/platform_bench/test_losses.py
@@ -1,4 +1,4 @@
-"""The tables of a played day: what they count, from a report and a log in the bench's form."""
+"""Tables of losses, computed from a report and a log in the format of the users' benchmark."""
 
 import json
 
@@ -30,7 +30,7 @@
     return file
 
 
-def test_a_job_is_told_from_its_lines(tmp_path):
+def test_a_job_is_reconstructed_from_its_log_lines(tmp_path):
     accepted = {"job": "j1", "step": 2, "items": 2, "min_version": 1, "again": False}
     file = write_log(
         tmp_path,
@@ -46,13 +46,15 @@
     )
     (job,) = read_jobs(file)
     assert (job.step, job.items, job.listed_in_time()) == (2, 2, 1)
-    assert job.listed == {"a": 7.0, "b": 13.0}, "the first listing counts"
+    assert job.listed == {"a": 7.0, "b": 13.0}, "only the first listing of an item counts"
     assert job.ends == {"broken reset": 1}
 
 
 def test_the_tables_name_prices_moments_and_what_happened_meanwhile(tmp_path):
-    told = format_losses(REPORT, read_jobs(write_log(tmp_path, [])))
-    assert told.index("connections") < told.index("cloud calls"), "the dearest first"
-    assert "orders" not in told, "what cost nothing is left out"
-    assert "from    8 s" in told and "from    0 s" not in told
-    assert "platform_down 10-12 s" in told and "release" not in told
+    tables = format_losses(REPORT, read_jobs(write_log(tmp_path, [])))
+    assert tables.index("connections") < tables.index("cloud calls"), (
+        "prices are sorted by descending cost"
+    )
+    assert "orders" not in tables, "prices without cost are omitted"
+    assert "from    8 s" in tables and "from    0 s" not in tables
+    assert "platform_down 10-12 s" in tables and "release" not in tables
