--- a/tests/platform_bench/test_verb.py
+++ b/tests/platform_bench/test_verb.py
@@ -1,4 +1,7 @@
-"""The verbs that read the bench's files find the package in `platform/`, and only when asked."""
+"""The commands `bench journal` and `bench losses`, which use a package in the folder `platform/`.
+
+They import the package only when they run; loading the experiments must not import it.
+"""
 
 import json
 import subprocess
@@ -11,10 +14,10 @@
 
 def test_the_journal_is_plotted(tmp_path, capsys):
     (tmp_path / "2026-1.json").write_text(json.dumps(ENTRY))
-    picture = tmp_path / "plot.png"
-    assert main(["bench", "journal", "--folder", str(tmp_path), "--out", str(picture)]) == 0
+    plot_file = tmp_path / "plot.png"
+    assert main(["bench", "journal", "--folder", str(tmp_path), "--out", str(plot_file)]) == 0
     assert json.loads(capsys.readouterr().out) == {"a": [0.5]}
-    assert picture.exists()
+    assert plot_file.exists()
 
 
 def test_losses_are_printed(tmp_path, capsys):
