--- a/tests/platform_bench/test_losses.py
+++ b/tests/platform_bench/test_losses.py
@@ -47,7 +47,7 @@
     (job,) = read_jobs(file)
     assert (job.step, job.items, job.listed_in_time()) == (2, 2, 1)
     assert job.listed == {"a": 7.0, "b": 13.0}, "only the first listing of an item counts"
-    assert job.ends == {"broken reset": 1}
+    assert job.unfinished_attempts == {"broken reset": 1}
 
 
 def test_the_tables_name_prices_moments_and_what_happened_meanwhile(tmp_path):
