--- a/tests/platform/test_events.py
+++ b/tests/platform/test_events.py
@@ -10,10 +10,10 @@
 def test_events_do_not_depend_on_how_the_stream_is_cut(cuts):
     edges = [0, *sorted(cuts), len(STREAM)]
     parser = EventParser(2)
-    found = []
+    events = []
     for start, end in zip(edges, edges[1:], strict=False):
-        found += parser.feed(STREAM[start:end])
-    assert [(event.number, event.data, event.version) for event in found] == [
+        events += parser.feed(STREAM[start:end])
+    assert [(event.number, event.data, event.version) for event in events] == [
         (1, "a", 2),
         (2, "b\nc", 3),
         (3, "", 3),
@@ -21,7 +21,7 @@
     assert parser.is_between_events
 
 
-def test_a_rest_is_noticed():
+def test_an_incomplete_last_event_is_detected():
     parser = EventParser(1)
     parser.feed(b"id: 1\ndata: a\n\nid: 2")
     assert not parser.is_between_events
