--- a/tests/platform/test_sampler_server.py
+++ b/tests/platform/test_sampler_server.py
@@ -1,4 +1,4 @@
-"""The stand-in of a sampler breaks connections as a process that ends does."""
+"""The emulated sampler breaks its connections in the way that a terminated process does."""
 
 import asyncio
 
@@ -7,7 +7,10 @@
 
 
 async def test_a_crash_within_an_answer_without_length_resets_its_connection():
-    """In such an answer only the connection's end says that it is whole."""
+    """The close of the connection marks the end of such a response.
+
+    If the emulated crash closed the connection in order, the response would look complete.
+    """
     sampler = SamplerServer("i-0")
     await sampler.start()
     sampler.faults.unframed_reset = 1
