--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -35,13 +35,15 @@
         front, "/safe/x", tenant="ten-b", TENANT="other", **bearer(KEY_A)
     )
     assert status == 200
-    (ran,) = [one for sampler in deployment.samplers for one in sampler.ran]
-    assert [value for name, value in ran.headers.items() if name.lower() == "tenant"] == ["ten-a"]
-    assert "Authorization" not in ran.headers
+    (request,) = [request for sampler in deployment.samplers for request in sampler.ran]
+    assert [value for name, value in request.headers.items() if name.lower() == "tenant"] == [
+        "ten-a"
+    ]
+    assert "Authorization" not in request.headers
 
 
 @pytest.mark.parametrize(
-    "shown",
+    "authorization",
     [
         {},
         bearer("unknown"),
@@ -55,10 +57,10 @@
     ("method", "path"),
     [("POST", "/safe/x"), ("POST", "/once/x"), ("POST", "/job/x"), ("GET", "/v1/lots/job1")],
 )
-async def test_without_a_known_key_nothing_is_read_or_run(deployment, shown, method, path):
+async def test_without_a_known_key_nothing_is_read_or_run(deployment, authorization, method, path):
     await configure(deployment)
     front = await deployment.start_front()
-    status, _, _ = await deployment.ask(front, path, b"{}", method=method, **shown)
+    status, _, _ = await deployment.ask(front, path, b"{}", method=method, **authorization)
     assert status == 401
     assert not any(sampler.ran for sampler in deployment.samplers)
 
@@ -81,8 +83,8 @@
     await configure(deployment, routes=[route("open", "/open/", "safe", public=True)])
     front = await deployment.start_front()
     assert (await deployment.ask(front, "/open/x", Tenant="forged"))[0] == 200
-    (ran,) = [one for sampler in deployment.samplers for one in sampler.ran]
-    assert "Tenant" not in ran.headers
+    (request,) = [request for sampler in deployment.samplers for request in sampler.ran]
+    assert "Tenant" not in request.headers
 
 
 async def test_a_key_that_goes_is_refused_on_kept_connections_and_a_new_one_serves(deployment):
@@ -119,16 +121,16 @@
     status, _, _ = await deployment.submit(first)
     assert status == 202
     listed = await deployment.all_results(second)
-    assert [one["state"] for one in listed] == ["completed"] * 3
-    items = [one for sampler in deployment.samplers for one in sampler.ran]
-    assert {one.headers["Tenant"] for one in items} == {"ten-a"}
-    assert not any("Authorization" in one.headers for one in items)
+    assert [result["state"] for result in listed] == ["completed"] * 3
+    items = [request for sampler in deployment.samplers for request in sampler.ran]
+    assert {item.headers["Tenant"] for item in items} == {"ten-a"}
+    assert not any("Authorization" in item.headers for item in items)
 
     deployment.session.headers["Authorization"] = f"Bearer {KEY_B}"
     for front in (first, second):
         assert (await deployment.ask(front, "/v1/lots/job1", method="GET"))[0] == 404
-        body_of = "/v1/items/job1?id=job1-0"
-        assert (await deployment.ask(front, body_of, method="GET"))[0] == 404
+        item_path = "/v1/items/job1?id=job1-0"
+        assert (await deployment.ask(front, item_path, method="GET"))[0] == 404
         assert (await deployment.ask(front, "/v1/lots/job1", method="DELETE"))[0] == 404
         assert (await deployment.submit(front))[0] == 400
 
@@ -154,9 +156,9 @@
     await configure(deployment, 2, bad)
     await configure(deployment, 3)
     await eventually(lambda: front.configuration.version == 3)
-    written = []
-    written += [str(record.__dict__) for record in caplog.records]
-    written.append(front.metrics.render().decode())
-    written += [str((dict(headers), body)) for _, headers, body in answers]
+    outputs = []
+    outputs += [str(record.__dict__) for record in caplog.records]
+    outputs.append(front.metrics.render().decode())
+    outputs += [str((dict(headers), body)) for _, headers, body in answers]
     for key in (KEY_A, KEY_B, "unknown-key"):
-        assert not any(key in text for text in written)
+        assert not any(key in text for text in outputs)
