--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -20,9 +20,9 @@
 
 CRASHING_BODY = b"ends its sampler"
 PROPAGATION_LIMIT_S = 1.0
-"""Seconds after the third crash for which a front that has not learned of it may send the request."""
+"""Seconds after the third crash within which a front may not yet know of it."""
 MAX_LATE_RUNS = 3
-"""Maximum number of runs that may begin later than that."""
+"""Maximum number of runs that may begin after that time."""
 RESEND_INTERVAL_S = 0.15
 RESENDS = 30
 
@@ -206,7 +206,7 @@
 
 
 async def test_a_stream_whose_sampler_ends_is_counted(deployment):
-    for sampler in (reviving.incarnations[0] for reviving in deployment.reviving_samplers):
+    for sampler in (one.incarnations[0] for one in deployment.reviving_samplers):
         sampler.faults.ends_after, sampler.length = 0.2, 100
         sampler.faults.ends_beside = True
     for number in range(2):
@@ -224,9 +224,9 @@
 
 
 async def test_a_healthy_request_that_two_ends_broke_is_served_after_its_hold(deployment):
-    """Its samplers crash for another reason; at first, the fronts hold it back when it is resent."""
+    """Its samplers crash for another reason, so that the fronts hold it back for some time."""
     body = b"healthy"
-    for sampler in (reviving.incarnations[0] for reviving in deployment.reviving_samplers):
+    for sampler in (one.incarnations[0] for one in deployment.reviving_samplers):
         sampler.faults.ended_by = body
     await deployment.ask(deployment.fronts[0], "/safe/x", body)
     await wait_until_known_to_all(deployment)
--- a/tests/platform/test_scoring.py
+++ b/tests/platform/test_scoring.py
@@ -59,7 +59,7 @@
     front = await deployment.start_front()
     requests = [scored_item(number) for number in range(3)]
     assert (await submit(deployment, front, requests))[0] == 202
-    results = {result["id"]: result for result in await deployment.all_results(front)}
+    results = {one["id"]: one for one in await deployment.all_results(front)}
     for number in range(3):
         result = results[f"job1-{number}"]
         assert result["state"] == "completed" and result["text"].count("\n") == 4
@@ -69,7 +69,7 @@
         "score-1",
         "score-2",
     ]
-    (request,) = [request for request in scoring_requests(deployment) if request.id == "score-1"]
+    (request,) = [one for one in scoring_requests(deployment) if one.id == "score-1"]
     assert request.path == "/score/1?x=%2F" and request.body == b"score 1"
     assert request.headers["Host"] == HOST and request.headers["Expect-Instance"].startswith("a-")
     assert 0 < int(request.headers["Deadline-Ms"]) <= 3000
@@ -138,9 +138,9 @@
     called_ids = []
     open_call = front.samplers.open
 
-    async def open_and_record(back_end, method, target, request_headers, *arguments):
+    async def open_and_record(back_end, method, target, request_headers, *more):
         called_ids.append(request_headers["Request-Id"])
-        return await open_call(back_end, method, target, request_headers, *arguments)
+        return await open_call(back_end, method, target, request_headers, *more)
 
     front.samplers.open = open_and_record
     return called_ids
@@ -157,14 +157,14 @@
     for scorer in scorers(deployment):
         scorer.faults.refuse = 10_000
     await submit(deployment, front, [scored_item()])
-    await eventually(lambda: any(scorer.faults.refuse < 10_000 for scorer in scorers(deployment)))
+    await eventually(lambda: any(one.faults.refuse < 10_000 for one in scorers(deployment)))
     assert called_ids.count("score-0") and running_job_tasks("job1")
     assert (await deployment.ask(front, "/v1/lots/job1", method="DELETE"))[0] == 200
     called_ids_before = list(called_ids)
     await eventually(lambda: not running_job_tasks("job1"), "the end of the job's tasks")
     await asyncio.sleep(0.5)
     assert called_ids == called_ids_before
-    arrived = sum(10_000 - scorer.faults.refuse for scorer in scorers(deployment))
+    arrived = sum(10_000 - one.faults.refuse for one in scorers(deployment))
     assert arrived <= called_ids_before.count("score-0")
 
 
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -35,7 +35,7 @@
         front, "/safe/x", tenant="ten-b", TENANT="other", **bearer(KEY_A)
     )
     assert status == 200
-    (request,) = [request for sampler in deployment.samplers for request in sampler.ran]
+    (request,) = [one for sampler in deployment.samplers for one in sampler.ran]
     assert [value for name, value in request.headers.items() if name.lower() == "tenant"] == [
         "ten-a"
     ]
@@ -83,7 +83,7 @@
     await configure(deployment, routes=[route("open", "/open/", "safe", public=True)])
     front = await deployment.start_front()
     assert (await deployment.ask(front, "/open/x", Tenant="forged"))[0] == 200
-    (request,) = [request for sampler in deployment.samplers for request in sampler.ran]
+    (request,) = [one for sampler in deployment.samplers for one in sampler.ran]
     assert "Tenant" not in request.headers
 
 
@@ -121,10 +121,10 @@
     status, _, _ = await deployment.submit(first)
     assert status == 202
     listed = await deployment.all_results(second)
-    assert [result["state"] for result in listed] == ["completed"] * 3
-    items = [request for sampler in deployment.samplers for request in sampler.ran]
-    assert {item.headers["Tenant"] for item in items} == {"ten-a"}
-    assert not any("Authorization" in item.headers for item in items)
+    assert [one["state"] for one in listed] == ["completed"] * 3
+    items = [one for sampler in deployment.samplers for one in sampler.ran]
+    assert {one.headers["Tenant"] for one in items} == {"ten-a"}
+    assert not any("Authorization" in one.headers for one in items)
 
     deployment.session.headers["Authorization"] = f"Bearer {KEY_B}"
     for front in (first, second):
