--- a/src/crankseam/records/agreement.py
+++ b/src/crankseam/records/agreement.py
@@ -1,14 +1,18 @@
-"""What do the replicas of a slot agree on: which value of a record may be relied on or proposed?
-
-Inputs: the answers of the replicas to one round, each with the ballot at which it accepted a value.
-Rule: what a majority accepted at one ballot is agreed. The fast ballot counts only with all
-replicas, since two fast quorums of a majority need not meet, and only where all hold the same
-value: unlike other ballots it belongs to no single proposer. A proposer continues with the value
-accepted at the highest ballot that a majority told it of.
-Protects: a value that was agreed once is never replaced by another that was not made from it.
-Shown by: what records say (`crankseam explain`). Held by: tests/records/test_agreement.py,
-tests/records/test_fast_round_reads.py, tests/records/test_small_worlds.py,
-tests/records/test_record_machine.py; docs/design/04-records.md weighs the ways.
+"""Determines from the answers of a slot's replicas which value of a record is agreed.
+
+Inputs: the answers of the replicas to one round, each with the ballot at which the replica accepted
+its value.
+Rule: a value that a majority accepted at the same ballot is agreed. At the fast ballot, a value is
+agreed only if all replicas accepted it and all hold the same value. All replicas are needed because
+two fast quorums of only a majority, together with a classic quorum, need not have a replica in
+common. The values are compared because proposers share the fast ballot; any other ballot belongs to
+one proposer. In a classic round, a proposer proposes the value accepted at the highest ballot among
+the promises of a majority, or a value derived from it.
+Purpose: an agreed value is only ever replaced by a value that was derived from it.
+Logged as: no log event; the record contents (`crankseam explain`) show the result.
+Tested by: tests/records/test_agreement.py, tests/records/test_fast_round_reads.py,
+tests/records/test_small_worlds.py, tests/records/test_record_machine.py. The alternatives are
+compared in docs/design/04-records.md.
 """
 
 from __future__ import annotations
@@ -19,18 +23,20 @@
 from crankseam.records.slots import majority
 
 ROUNDS_PER_EPOCH = 2**32
-"""Rounds that an epoch's ballots have for themselves, so that each ballot of an epoch is above
-each of the epochs before it. Two movers may install different values of the old epoch, both in
-order; what is agreed in the new epoch must stand above either. Far more than a process tries in
-its life."""
+"""Size of the range of ballot rounds reserved for each epoch, so that every ballot of an epoch is
+higher than every ballot of earlier epochs. Two nodes that move the same slot may install different
+values of the old epoch, both legitimately; a value agreed in the new epoch must take precedence
+over either. The range is far larger than the number of rounds one process starts in its
+lifetime."""
 
 
 def agreed_by_majority(
     replica_set: ReplicaSet, answers: Mapping[str, AnyMessage]
 ) -> Promise | None:
-    """The value that a majority holds at one ballot, or that it holds nothing at all.
+    """Return the agreed ballot and value, as a `Promise`, if these answers prove them.
 
-    None where that is not known from these answers; it needs a full round then.
+    The `Promise` is empty if a majority holds no value. None means that the answers do not prove
+    agreement; the caller then runs a full round (prepare and accept).
     """
     promises = [answer for answer in answers.values() if isinstance(answer, Promise)]
     if len(promises) < majority(replica_set):
@@ -43,8 +49,8 @@
     return first
 
 
-def value_to_continue(promises: Sequence[Promise]) -> bytes | None:
-    """The value accepted at the highest ballot; None where none was accepted."""
+def highest_accepted_value(promises: Sequence[Promise]) -> bytes | None:
+    """Return the value accepted at the highest ballot, or None if no value was accepted."""
     accepted = [promise for promise in promises if promise.accepted is not None]
     if not accepted:
         return None
@@ -52,11 +58,15 @@
     return newest.value
 
 
-def ballot_of(replica_set: ReplicaSet, tries: int, identity: str) -> Ballot:
-    """A proposer's ballot for its try of this number in the set's epoch."""
-    return Ballot(replica_set.epoch * ROUNDS_PER_EPOCH + tries, identity)
+def make_ballot(replica_set: ReplicaSet, epoch_round: int, identity: str) -> Ballot:
+    """Return the ballot of the proposer `identity` for a round counted within the set's epoch."""
+    return Ballot(replica_set.epoch * ROUNDS_PER_EPOCH + epoch_round, identity)
+
 
+def epoch_round_of(replica_set: ReplicaSet, promised: Ballot) -> int:
+    """Return the round of a ballot, counted within the set's epoch.
 
-def tries_behind(replica_set: ReplicaSet, promised: Ballot) -> int:
-    """The try behind a ballot; below 1 for one of an earlier epoch or build."""
+    The result is below 1 for a ballot of an earlier epoch, or of a build that did not reserve
+    rounds for each epoch.
+    """
     return promised.round - replica_set.epoch * ROUNDS_PER_EPOCH
--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -32,9 +32,9 @@
 )
 from crankseam.records.agreement import (
     agreed_by_majority,
-    ballot_of,
-    tries_behind,
-    value_to_continue,
+    epoch_round_of,
+    highest_accepted_value,
+    make_ballot,
 )
 from crankseam.records.slots import SlotTable, majority
 
@@ -107,7 +107,7 @@
         self._caller = caller
         self._slots = slots
         self._timeout = timeout
-        self._tries = 1
+        self._epoch_round = 1
         """Rounds used or heard of, within an epoch."""
         self._random = random.Random(identity)
         self._late: set[asyncio.Task] = set()
@@ -220,19 +220,19 @@
         return value
 
     def _next_ballot(self, replica_set: ReplicaSet) -> Ballot:
-        self._tries += 1
-        return ballot_of(replica_set, self._tries, self._identity)
+        self._epoch_round += 1
+        return make_ballot(replica_set, self._epoch_round, self._identity)
 
-    def _learn_ballot(self, replica_set: ReplicaSet, promised: Ballot) -> None:
+    def _advance_epoch_round(self, replica_set: ReplicaSet, promised: Ballot) -> None:
         """Try above a ballot that stood in the way; that of an earlier epoch or build is lower."""
-        self._tries = max(self._tries, tries_behind(replica_set, promised))
+        self._epoch_round = max(self._epoch_round, epoch_round_of(replica_set, promised))
 
     async def _prepare(
         self, where: RecordKey, replica_set: ReplicaSet, ballot: Ballot
     ) -> bytes | None:
         message = Prepare(where.slot, replica_set.epoch, where.key, where.dated, ballot)
         answers = await self._ask(replica_set, message, needed=majority(replica_set))
-        return value_to_continue(self._majority_of(Promise, where, replica_set, answers))
+        return highest_accepted_value(self._majority_of(Promise, where, replica_set, answers))
 
     async def _accept(
         self, where: RecordKey, replica_set: ReplicaSet, ballot: Ballot, value: bytes
@@ -258,7 +258,7 @@
         self._raise_if_expired(answers)
         rejected = [answer for answer in answers.values() if isinstance(answer, Rejected)]
         for answer in rejected:
-            self._learn_ballot(replica_set, answer.promised)
+            self._advance_epoch_round(replica_set, answer.promised)
         self._learn_newer_set(replica_set, answers)
         if rejected:
             raise Contention(where.key)
--- a/tests/records/test_agreement.py
+++ b/tests/records/test_agreement.py
@@ -1,7 +1,7 @@
 """What the answers of a slot's replicas agree on."""
 
 from crankseam.peers.messages import FAST_BALLOT, Ballot, Promise, Rejected, ReplicaSet
-from crankseam.records.agreement import agreed_by_majority, value_to_continue
+from crankseam.records.agreement import agreed_by_majority, highest_accepted_value
 
 SET = ReplicaSet(0, 1, ["a@1", "b@1", "c@1"], 0)
 EMPTY = Promise(None, None)
@@ -32,7 +32,7 @@
 
 
 def test_a_proposer_continues_with_the_value_of_the_highest_ballot():
-    assert value_to_continue([EMPTY, EMPTY]) is None
-    assert value_to_continue([FAST, EMPTY]) == b"fast"
-    assert value_to_continue([FIRST, FAST]) == b"first"
-    assert value_to_continue([FIRST, SECOND, EMPTY]) == b"second"
+    assert highest_accepted_value([EMPTY, EMPTY]) is None
+    assert highest_accepted_value([FAST, EMPTY]) == b"fast"
+    assert highest_accepted_value([FIRST, FAST]) == b"first"
+    assert highest_accepted_value([FIRST, SECOND, EMPTY]) == b"second"
--- a/tests/records/test_small_worlds.py
+++ b/tests/records/test_small_worlds.py
@@ -36,9 +36,9 @@
 )
 from crankseam.records.agreement import (
     agreed_by_majority,
-    ballot_of,
-    tries_behind,
-    value_to_continue,
+    epoch_round_of,
+    highest_accepted_value,
+    make_ballot,
 )
 from crankseam.records.reconfigurer import merge_states
 from crankseam.records.replica import Register, ReplicaStore, Slot
@@ -117,7 +117,7 @@
 
     name: str
     rounds: tuple[str, ...]
-    tries: int
+    epoch_round: int
     phase: str
     waiting: tuple[str, ...] = ()
     heard: tuple[tuple, ...] = ()
@@ -130,7 +130,7 @@
             return Accept(0, 1, KEY, DATED, FAST_BALLOT, self.value, self.name)
         if self.phase == "owned":
             return Accept(0, 1, KEY, DATED, Ballot(1, self.name), self.value)
-        ballot = ballot_of(OLD_SET, self.tries, self.name)
+        ballot = make_ballot(OLD_SET, self.epoch_round, self.name)
         if self.phase == "prepare":
             return Prepare(0, 1, KEY, DATED, ballot)
         return Accept(0, 1, KEY, DATED, ballot, self.value)
@@ -141,15 +141,19 @@
             return replace(self, phase="done", waiting=(), heard=())
         first, *rest = self.rounds
         if first == "classic":
-            phase, value, tries = "prepare", b"", self.tries + 1
+            phase, value, epoch_round = "prepare", b"", self.epoch_round + 1
         elif first == "read":
-            phase, value, tries = "read", b"", self.tries
+            phase, value, epoch_round = "read", b"", self.epoch_round
         elif first == "owned":
-            phase, value, tries = "owned", added(self.value, f"{self.name}2"), self.tries
+            phase, value, epoch_round = (
+                "owned",
+                added(self.value, f"{self.name}2"),
+                self.epoch_round,
+            )
         else:
-            phase, value, tries = "fast", added(None, self.name), self.tries
+            phase, value, epoch_round = "fast", added(None, self.name), self.epoch_round
         everyone = tuple(MEMBERS)
-        return Program(self.name, tuple(rest), tries, phase, everyone, (), value)
+        return Program(self.name, tuple(rest), epoch_round, phase, everyone, (), value)
 
     def after(self, member: str, answer: object) -> tuple[Program, bytes | None]:
         """With an answer heard, and the value that its caller is told now."""
@@ -163,7 +167,7 @@
         if len(good) < needed:
             return (now if waiting else now.without_success()), None
         if self.phase == "prepare":
-            value = added(value_to_continue(good), self.name)
+            value = added(highest_accepted_value(good), self.name)
             accepting = replace(now, phase="accept", waiting=tuple(MEMBERS), heard=(), value=value)
             return accepting, None
         if self.phase == "fast" and self.rounds[:1] == ("owned",):
@@ -176,8 +180,8 @@
         return replace(self, rounds=classic).begun()
 
 
-def program(name: str, *rounds: str, tries: int = 1) -> Program:
-    return Program(name, rounds, tries, "done").begun()
+def program(name: str, *rounds: str, epoch_round: int = 1) -> Program:
+    return Program(name, rounds, epoch_round, "done").begun()
 
 
 @dataclass(frozen=True)
@@ -193,7 +197,10 @@
 
 def left_behind(before: Program, after: Program) -> set:
     """Messages still under way of a round that its proposer left."""
-    if before.phase == "read" or (after.phase, after.tries) == (before.phase, before.tries):
+    if before.phase == "read" or (after.phase, after.epoch_round) == (
+        before.phase,
+        before.epoch_round,
+    ):
         return set()
     message = before.message()
     return {(member, type(message).__name__, frozen(message)) for member in before.waiting}
@@ -318,7 +325,7 @@
 
 def old_worlds() -> list[tuple[tuple[Held, ...], frozenset[bytes]]]:
     """What replicas may hold, and what was told, when a move begins; each once."""
-    old = program("q", "classic", tries=9)
+    old = program("q", "classic", epoch_round=9)
     worlds = explored(world_of(program("p", "classic"), old, reads_left=0))
     return sorted({(world.replicas, world.told) for world in worlds}, key=repr)
 
@@ -333,21 +340,21 @@
 
 def promises_of(stores, members: tuple[str, ...], name: str) -> tuple[Ballot, list[Promise]]:
     """What these members promise a proposer that has made no try in the new epoch yet."""
-    tries = 1
+    epoch_round = 1
     while True:
-        ballot = ballot_of(NEW_SET, tries, name)
+        ballot = make_ballot(NEW_SET, epoch_round, name)
         prepare = Prepare(0, 2, KEY, DATED, ballot)
         answers = [run(stores[member].on_prepare(name, prepare)) for member in members]
         rejected = [answer.promised for answer in answers if isinstance(answer, Rejected)]
         if not rejected:
             return ballot, answers
-        tries = max(tries_behind(NEW_SET, promised) for promised in rejected) + 1
+        epoch_round = max(epoch_round_of(NEW_SET, promised) for promised in rejected) + 1
 
 
 def changed_in_new_epoch(stores, members: tuple[str, ...]) -> bytes:
     """A change by a proposer that reaches these members; what it is told."""
     ballot, promises = promises_of(stores, members, "young@1")
-    value = added(value_to_continue(promises), "young")
+    value = added(highest_accepted_value(promises), "young")
     accept = Accept(0, 2, KEY, DATED, ballot, value)
     for member in members:
         assert isinstance(run(stores[member].on_accept("young@1", accept)), Accepted)
@@ -357,7 +364,7 @@
 def read_by(stores, members: tuple[str, ...]) -> bytes | None:
     """What a round that hears these members continues with."""
     _ballot, promises = promises_of(stores, members, "reader@1")
-    return value_to_continue(promises)
+    return highest_accepted_value(promises)
 
 
 def move_orders() -> Iterator[tuple]:
