--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -1,8 +1,9 @@
 """Reads and changes replicated records by agreement of a majority of their replicas.
 
-Owns this process's ballots. Each record is a register with its own ballots (CASPaxos-like): there
-is no leader and no log. A new record is first tried in a fast round, which needs all replicas and
-one round trip. Relies on `agreement` for what answers mean, and on its caller to reach a replica.
+Owns this process's ballots. Each record is a register with its own ballots, as in CASPaxos: there
+is no leader and no log. A new record is first proposed in a fast round, which takes one round trip
+and succeeds only if all replicas accept. Relies on `agreement` to interpret the answers and on a
+`ReplicaTransport` to reach the replicas.
 """
 
 from __future__ import annotations
@@ -38,36 +39,35 @@
 )
 from crankseam.records.slots import SlotTable, majority
 
-MAX_ROUNDS = 8
-"""Rounds in which a change may lose to other proposers before it is given up. Origin not
-recorded."""
+MAX_CHANGE_ATTEMPTS = 8
+"""Number of rounds a change may lose to other proposers before it fails with `Contention`."""
 FAST_ROUND_GRACE_S = 0.02
-"""How long the fast round waits for the last replicas once a majority accepted; several round trips
-between zones (docs/design/04-records.md). Origin not recorded."""
+"""Time that the fast round waits for the remaining replicas after a majority has accepted. It
+covers several round trips between zones (docs/design/04-records.md)."""
 RETRY_BASE_S = 0.005
-"""Upper bound of the pause after the first lost round; it doubles with each. Origin not
-recorded."""
+"""Upper bound of the random pause after the first lost round; doubles with each further one."""
 
 Change = Callable[[bytes | None], bytes | None]
-"""From the current value to the next one; None leaves the record as it is."""
+"""Maps the current value of a record to the next one, or to None to keep the current value."""
 
 
-class Caller(Protocol):
-    """How the proposer reaches a replica."""
+class ReplicaTransport(Protocol):
+    """Sends messages to replicas."""
 
     async def call_identity(self, identity: str, message: Message, timeout: float) -> AnyMessage:
-        """Call the process `node@incarnation`; raises PeerError."""
+        """Call the process `node@incarnation` and return its answer; raises PeerError."""
         ...
 
 
 @dataclass(frozen=True)
 class RecordKey:
-    """Where a record lives.
+    """Identifies a record and the slot that stores it.
 
     Attributes:
-        slot: region-wide slot number.
+        slot: slot number, the same on all nodes of the region.
         key: name of the record.
-        dated: date of its id in milliseconds; 0 for records that are never dropped.
+        dated: creation time contained in the record's id, in milliseconds; 0 for records that are
+            never dropped.
     """
 
     slot: int
@@ -77,9 +77,10 @@
 
 @dataclass
 class OwnedBallot:
-    """A ballot that all replicas promised this proposer with its fast write; for one write.
+    """A ballot that all replicas promised to this proposer in a fast round, valid for one write.
 
-    With two values at one ballot, what a majority accepted could not be told from what it did not.
+    A second write would put two values at one ballot, and a reader could not tell which of them a
+    majority accepted.
     """
 
     epoch: int
@@ -89,116 +90,119 @@
 
 
 class _EpochChanged(Exception):
-    """The slot moved to a newer replica set; start over with it."""
+    """The slot moved to a newer replica set; the operation must start again with that set."""
 
 
 class Proposer:
-    """Makes and reads agreed values.
+    """Changes and reads the agreed values of records.
 
     Args:
-        identity: unique among proposers: `node@incarnation`.
-        caller: reaches replicas.
-        slots: the replica sets known.
-        timeout: seconds for one round trip.
+        identity: `node@incarnation`, unique among proposers.
+        transport: sends messages to replicas.
+        slots: newest known replica set of each slot.
+        timeout: seconds allowed for one round trip.
     """
 
-    def __init__(self, identity: str, caller: Caller, slots: SlotTable, timeout: float) -> None:
+    def __init__(
+        self, identity: str, transport: ReplicaTransport, slots: SlotTable, timeout: float
+    ) -> None:
         self._identity = identity
-        self._caller = caller
+        self._transport = transport
         self._slots = slots
         self._timeout = timeout
         self._epoch_round = 1
-        """Rounds used or heard of, within an epoch."""
+        """Highest round that this proposer has used or been told of, counted within an epoch."""
         self._random = random.Random(identity)
-        self._late: set[asyncio.Task] = set()
+        self._background_calls: set[asyncio.Task] = set()
 
     # --- public
 
-    async def create(self, where: RecordKey, value: bytes) -> OwnedBallot | None:
+    async def create(self, record: RecordKey, value: bytes) -> OwnedBallot | None:
         """Try to create a record in one round trip.
 
         Returns:
-            The ballot for the next write; None if the fast round failed (the record may exist,
-            or may even hold this value): use `change` then.
+            The ballot for the next write, or None if the fast round failed. After a failure the
+            record may exist and may even hold this value; the caller continues with `change`.
         """
-        replica_set = self._require_set(where)
+        replica_set = self._require_set(record)
         message = Accept(
-            where.slot,
+            record.slot,
             replica_set.epoch,
-            where.key,
-            where.dated,
+            record.key,
+            record.dated,
             FAST_BALLOT,
             value,
             self._identity,
         )
         members = len(replica_set.members)
-        answers = await self._ask(replica_set, message, members, FAST_ROUND_GRACE_S)
+        answers = await self._call_replicas(replica_set, message, members, FAST_ROUND_GRACE_S)
         accepted = sum(isinstance(answer, Accepted) for answer in answers.values())
         if accepted < members:
             self._raise_if_expired(answers)
             with contextlib.suppress(_EpochChanged):
-                self._learn_newer_set(replica_set, answers)
+                self._raise_if_epoch_changed(replica_set, answers)
             return None
         return OwnedBallot(replica_set.epoch, Ballot(1, self._identity), value)
 
-    async def overwrite(self, where: RecordKey, owned: OwnedBallot, value: bytes) -> bool:
-        """Write with a ballot already promised, in one round trip.
+    async def overwrite(self, record: RecordKey, owned: OwnedBallot, value: bytes) -> bool:
+        """Write with a ballot that is already promised, in one round trip.
 
-        False means that it was overtaken or that no majority answered: use `change` then.
+        Returns False if another proposer has a higher ballot, the slot moved, the ballot was used
+        before or no majority answered; the caller continues with `change`.
         """
-        replica_set = self._require_set(where)
+        replica_set = self._require_set(record)
         if owned.is_used or replica_set.epoch != owned.epoch:
-            return False  # promises do not outlive their epoch
+            return False  # a promise is valid only in the epoch in which it was given
         owned.is_used = True
         try:
-            return await self._accept(where, replica_set, owned.ballot, value)
+            return await self._accept(record, replica_set, owned.ballot, value)
         except (_EpochChanged, NoQuorum):
-            return False  # the caller goes the long way, which tells what stands
+            return False  # the caller falls back to `change`, which returns the agreed value
 
-    async def change(self, where: RecordKey, change: Change) -> bytes | None:
+    async def change(self, record: RecordKey, change: Change) -> bytes | None:
         """Apply `change` to the record's agreed value and return the value agreed afterwards.
 
         Raises:
             NoQuorum: no majority answered; the change may have taken effect.
-            Contention: other proposers kept winning.
-            RecordExpired: the id is older than what is remembered.
+            Contention: the change lost `MAX_CHANGE_ATTEMPTS` rounds to other proposers.
+            RecordExpired: the record's id is older than the records that the replicas keep.
         """
-        for attempt in range(MAX_ROUNDS):
+        for attempt in range(MAX_CHANGE_ATTEMPTS):
             try:
-                return await self._change_once(where, self._require_set(where), change)
+                return await self._change_once(record, self._require_set(record), change)
             except (_EpochChanged, Contention):
                 await self._pause(attempt)
-        raise Contention(where.key)
+        raise Contention(record.key)
 
-    async def change_within(
-        self, replica_set: ReplicaSet, where: RecordKey, change: Change
+    async def change_in_set(
+        self, replica_set: ReplicaSet, record: RecordKey, change: Change
     ) -> bytes | None:
-        """Like `change`, but by the replicas of this set only: it follows to no newer one.
+        """Like `change`, but asks only the replicas of this set and follows no move of the slot.
 
         Raises:
             SlotMoved: the slot has a newer set.
             NoQuorum, Contention, RecordExpired: as with `change`.
         """
-        for attempt in range(MAX_ROUNDS):
-            if self._require_set(where).epoch > replica_set.epoch:
-                raise SlotMoved(where.slot)
+        for attempt in range(MAX_CHANGE_ATTEMPTS):
+            if self._require_set(record).epoch > replica_set.epoch:
+                raise SlotMoved(record.slot)
             try:
-                return await self._change_once(where, replica_set, change)
+                return await self._change_once(record, replica_set, change)
             except _EpochChanged as changed:
-                raise SlotMoved(where.slot) from changed
+                raise SlotMoved(record.slot) from changed
             except Contention:
                 await self._pause(attempt)
-        raise Contention(where.key)
+        raise Contention(record.key)
 
-    async def read(self, where: RecordKey) -> bytes | None:
-        """The record's agreed value; same errors as `change`."""
-        replica_set = self._require_set(where)
-        message = ReadRecord(where.slot, replica_set.epoch, where.key)
-        answers = await self._ask(replica_set, message, needed=majority(replica_set))
+    async def read(self, record: RecordKey) -> bytes | None:
+        """Return the record's agreed value, or None if it has none; raises as `change` does."""
+        replica_set = self._require_set(record)
+        message = ReadRecord(record.slot, replica_set.epoch, record.key)
+        answers = await self._call_replicas(replica_set, message, needed=majority(replica_set))
         agreed = agreed_by_majority(replica_set, answers)
         if agreed is not None:
             return agreed.value
-        return await self.change(where, lambda current: current)
+        return await self.change(record, lambda current: current)
 
     # --- rounds
 
@@ -206,17 +210,17 @@
         await asyncio.sleep(self._random.uniform(0, RETRY_BASE_S * 2**attempt))
 
     async def _change_once(
-        self, where: RecordKey, replica_set: ReplicaSet, change: Change
+        self, record: RecordKey, replica_set: ReplicaSet, change: Change
     ) -> bytes | None:
         ballot = self._next_ballot(replica_set)
-        current = await self._prepare(where, replica_set, ballot)
+        current = await self._prepare(record, replica_set, ballot)
         value = change(current)
         if value is None:
             if current is None:
                 return None
-            value = current  # write it again, so that a majority is known to hold it
-        if not await self._accept(where, replica_set, ballot, value):
-            raise Contention(where.key)
+            value = current  # write the value again, so that a majority is known to hold it
+        if not await self._accept(record, replica_set, ballot, value):
+            raise Contention(record.key)
         return value
 
     def _next_ballot(self, replica_set: ReplicaSet) -> Ballot:
@@ -224,31 +228,34 @@
         return make_ballot(replica_set, self._epoch_round, self._identity)
 
     def _advance_epoch_round(self, replica_set: ReplicaSet, promised: Ballot) -> None:
-        """Try above a ballot that stood in the way; that of an earlier epoch or build is lower."""
+        """Continue above the ballot that caused a rejection.
+
+        A ballot of an earlier epoch, or of a build without rounds per epoch, changes nothing.
+        """
         self._epoch_round = max(self._epoch_round, epoch_round_of(replica_set, promised))
 
     async def _prepare(
-        self, where: RecordKey, replica_set: ReplicaSet, ballot: Ballot
+        self, record: RecordKey, replica_set: ReplicaSet, ballot: Ballot
     ) -> bytes | None:
-        message = Prepare(where.slot, replica_set.epoch, where.key, where.dated, ballot)
-        answers = await self._ask(replica_set, message, needed=majority(replica_set))
-        return highest_accepted_value(self._majority_of(Promise, where, replica_set, answers))
+        message = Prepare(record.slot, replica_set.epoch, record.key, record.dated, ballot)
+        answers = await self._call_replicas(replica_set, message, needed=majority(replica_set))
+        return highest_accepted_value(self._require_majority(Promise, record, replica_set, answers))
 
     async def _accept(
-        self, where: RecordKey, replica_set: ReplicaSet, ballot: Ballot, value: bytes
+        self, record: RecordKey, replica_set: ReplicaSet, ballot: Ballot, value: bytes
     ) -> bool:
-        message = Accept(where.slot, replica_set.epoch, where.key, where.dated, ballot, value)
-        answers = await self._ask(replica_set, message, needed=majority(replica_set))
+        message = Accept(record.slot, replica_set.epoch, record.key, record.dated, ballot, value)
+        answers = await self._call_replicas(replica_set, message, needed=majority(replica_set))
         try:
-            self._majority_of(Accepted, where, replica_set, answers)
+            self._require_majority(Accepted, record, replica_set, answers)
         except Contention:
             return False
         return True
 
-    def _majority_of(
+    def _require_majority(
         self,
         wanted: type,
-        where: RecordKey,
+        record: RecordKey,
         replica_set: ReplicaSet,
         answers: Mapping[str, AnyMessage],
     ) -> list:
@@ -259,21 +266,23 @@
         rejected = [answer for answer in answers.values() if isinstance(answer, Rejected)]
         for answer in rejected:
             self._advance_epoch_round(replica_set, answer.promised)
-        self._learn_newer_set(replica_set, answers)
+        self._raise_if_epoch_changed(replica_set, answers)
         if rejected:
-            raise Contention(where.key)
-        raise NoQuorum(f"{len(matching)} of {len(replica_set.members)} for {where.key}")
+            raise Contention(record.key)
+        raise NoQuorum(f"{len(matching)} of {len(replica_set.members)} for {record.key}")
 
     # --- asking
 
-    def _require_set(self, where: RecordKey) -> ReplicaSet:
-        replica_set = self._slots.get(where.slot)
+    def _require_set(self, record: RecordKey) -> ReplicaSet:
+        replica_set = self._slots.get(record.slot)
         if replica_set is None:
-            raise NoQuorum(f"no replica set known for slot {where.slot}")
+            raise NoQuorum(f"no replica set known for slot {record.slot}")
         return replica_set
 
-    def _learn_newer_set(self, replica_set: ReplicaSet, answers: Mapping[str, AnyMessage]) -> None:
-        """Raise _EpochChanged if an answer tells of a newer set than the one that was asked."""
+    def _raise_if_epoch_changed(
+        self, replica_set: ReplicaSet, answers: Mapping[str, AnyMessage]
+    ) -> None:
+        """Record newer replica sets from the answers; raise _EpochChanged if the slot moved."""
         for answer in answers.values():
             if isinstance(answer, StaleEpoch) and answer.replica_set is not None:
                 self._slots.learn(answer.replica_set)
@@ -286,46 +295,50 @@
         if any(isinstance(answer, Expired) for answer in answers.values()):
             raise RecordExpired("the id is older than what the replicas remember")
 
-    async def _ask(
+    async def _call_replicas(
         self,
         replica_set: ReplicaSet,
         message: Message,
         needed: int,
         grace: float | None = None,
     ) -> dict[str, AnyMessage]:
-        """Ask all replicas; return once `needed` gave a good answer, or all have answered.
+        """Send a message to all replicas of a set and collect their answers.
+
+        Returns once `needed` replicas have answered with `Promise` or `Accepted`, or all calls have
+        ended.
 
         Args:
-            grace: once a majority gave a good answer, wait at most this long for the others.
+            grace: once a majority has answered so, seconds to wait for each further answer.
         """
         answers: dict[str, AnyMessage] = {}
-        asked = [
-            asyncio.create_task(self._ask_one(member, message)) for member in replica_set.members
+        calls = [
+            asyncio.create_task(self._call_replica(member, message))
+            for member in replica_set.members
         ]
-        pending = set(asked)
-        good = 0
-        while pending and good < needed:
-            patience = grace if good >= majority(replica_set) else None
+        pending = set(calls)
+        matching = 0
+        while pending and matching < needed:
+            grace_timeout = grace if matching >= majority(replica_set) else None
             finished, pending = await asyncio.wait(
-                pending, timeout=patience, return_when=asyncio.FIRST_COMPLETED
+                pending, timeout=grace_timeout, return_when=asyncio.FIRST_COMPLETED
             )
             if not finished:
                 break
-            # In the order of the members: a set's order hangs on addresses in memory, so that a
-            # failure could not be played again.
-            for task in (task for task in asked if task in finished):
+            # Process answers in the order of the members: the order of a set of tasks depends on
+            # memory addresses, which would make failures impossible to reproduce.
+            for task in (task for task in calls if task in finished):
                 member, answer = task.result()
                 if answer is not None:
                     answers[member] = answer
-                    good += isinstance(answer, Promise | Accepted)
-        # Those still pending finish on their own: a replica that lags must still get the write.
-        self._late.update(pending)
+                    matching += isinstance(answer, Promise | Accepted)
+        # Calls still pending continue in the background: a slow replica must still get the write.
+        self._background_calls.update(pending)
         for task in pending:
-            task.add_done_callback(self._late.discard)
+            task.add_done_callback(self._background_calls.discard)
         return answers
 
-    async def _ask_one(self, member: str, message: Message) -> tuple[str, AnyMessage | None]:
+    async def _call_replica(self, member: str, message: Message) -> tuple[str, AnyMessage | None]:
         try:
-            return member, await self._caller.call_identity(member, message, self._timeout)
+            return member, await self._transport.call_identity(member, message, self._timeout)
         except PeerError:
-            return member, None  # a replica that gives no answer is one that does not count
+            return member, None  # a replica without an answer does not count towards a majority
--- a/src/crankseam/records/reconfigurer.py
+++ b/src/crankseam/records/reconfigurer.py
@@ -27,7 +27,7 @@
     StoredRecord,
 )
 from crankseam.records import replica
-from crankseam.records.proposer import Caller, Proposer, RecordKey
+from crankseam.records.proposer import Proposer, RecordKey, ReplicaTransport
 from crankseam.records.replica import UNDATED
 from crankseam.records.slots import SlotTable, majority
 
@@ -41,7 +41,7 @@
 class Reconfigurer:
     """Carries out epoch changes."""
 
-    def __init__(self, caller: Caller, proposer: Proposer, slots: SlotTable) -> None:
+    def __init__(self, caller: ReplicaTransport, proposer: Proposer, slots: SlotTable) -> None:
         self._caller = caller
         self._proposer = proposer
         self._slots = slots
@@ -94,7 +94,7 @@
         where = RecordKey(current.slot, f"{NEXT_SET_KEY}/{current.epoch}", UNDATED)
         encoded = msgspec.msgpack.encode(proposed)
         # By the old set alone: a majority of a newer set would agree on a second set of this epoch.
-        value = await self._proposer.change_within(
+        value = await self._proposer.change_in_set(
             current, where, lambda standing: standing or encoded
         )
         assert value is not None
