--- a/src/crankseam/records/replica.py
+++ b/src/crankseam/records/replica.py
@@ -1,8 +1,8 @@
 """One node's replicas: registers in memory, each changed only by ballots of its slot's epoch.
 
-Owns the registers of every slot of which this process is a replica; they die with it. Relies on
-nobody: each message is answered from what stands here. A process that was started anew is another
-replica and has no vote until a move brings it in with state.
+Owns the registers of every slot of which this process is a replica; they are lost when the process
+ends. Depends on no other component: each message is answered from the registers alone. A restarted
+process counts as a different replica and has no vote until a move of the slot installs state on it.
 """
 
 from __future__ import annotations
@@ -35,17 +35,18 @@
 log = logging.getLogger(__name__)
 
 StoreHandler = Callable[[str, AnyMessage], Awaitable[AnyMessage]]
-"""Called with the peer's name and its message; always answers."""
+"""Called with the peer's name and its message; always returns an answer."""
 
 PAGE_BYTES = 2 * 1024 * 1024
-"""State is handed over in pages of about this size, far below the largest frame."""
+"""Approximate size of a page of a slot's state; far below the maximum frame size, so that a slot of
+any size can be transferred."""
 RECORD_OVERHEAD_BYTES = 40
-"""Of a record on the wire beside its key and value, about."""
+"""Approximate encoded size of a record without its key and value."""
 
 
 @dataclass(slots=True)
 class Register:
-    """One record: the highest ballot promised, and what was last accepted."""
+    """One record: the highest promised ballot, and the last accepted ballot and value."""
 
     dated: int
     promised: Ballot = FAST_BALLOT
@@ -55,13 +56,14 @@
 
 @dataclass
 class Slot:
-    """One slot's registers at one epoch."""
+    """The registers of one slot in one epoch."""
 
     replica_set: ReplicaSet
     registers: dict[str, Register] = field(default_factory=dict)
     forgotten: int = 0
-    """Newest date (milliseconds) of a record that was dropped."""
+    """Date (milliseconds) of the newest dropped record; ids of this date or older have expired."""
     sealed_by: ReplicaSet | None = None
+    """Next replica set, whose agreement ended this epoch; None while the epoch is open."""
 
 
 UNDATED = 0
@@ -73,19 +75,19 @@
 
     Args:
         identity: this process as `node@incarnation`; a restarted node is another replica.
-        learn: called with each replica set that this store hears of.
+        on_replica_set: called with each replica set that this store learns from a message.
     """
 
-    def __init__(self, identity: str, learn: Callable[[ReplicaSet], None]) -> None:
+    def __init__(self, identity: str, on_replica_set: Callable[[ReplicaSet], None]) -> None:
         self.identity = identity
-        self._learn = learn
+        self._on_replica_set = on_replica_set
         self.slots: dict[int, Slot] = {}
         self._highest_epochs: dict[int, int] = {}
-        self._staged: dict[tuple[int, int], Slot] = {}
+        self._pending_installs: dict[tuple[int, int], Slot] = {}
         self.operations = 0
 
     def handlers(self) -> dict[type[Message], StoreHandler]:
-        """Which messages this store answers, and how."""
+        """Return the handler of each message type that this store answers."""
         return {
             Prepare: self.on_prepare,
             Accept: self.on_accept,
@@ -95,28 +97,34 @@
         }
 
     def adopt(self, replica_set: ReplicaSet) -> None:
-        """Start a founded epoch, which has no state to carry over."""
+        """Start the epoch of a founded replica set, which takes over no state from an earlier set.
+
+        Does nothing for other sets and for epochs that are not newer than those seen here.
+        """
         if not replica_set.founded:
             return
         if replica_set.epoch <= self._highest_epochs.get(replica_set.slot, 0):
             return
         if self.identity in replica_set.members:
-            self._start(Slot(replica_set, forgotten=replica_set.floor))
+            self._start_epoch(Slot(replica_set, forgotten=replica_set.floor))
         elif replica_set.slot in self.slots:
-            # The slot was founded anew without this replica: its epoch must not serve any more.
+            # The slot was founded again without this replica, which must stop serving the old
+            # epoch.
             del self.slots[replica_set.slot]
             self._highest_epochs[replica_set.slot] = replica_set.epoch
 
-    def _start(self, slot: Slot) -> None:
+    def _start_epoch(self, slot: Slot) -> None:
         self.slots[slot.replica_set.slot] = slot
-        # An epoch once held may not be started again, even after its slot was dropped here:
-        # this replica would come back without its votes.
+        # Remember the epoch even after the slot is dropped: if this replica started the same epoch
+        # again, it would have lost the promises and values that it voted for.
         self._highest_epochs[slot.replica_set.slot] = slot.replica_set.epoch
-        for number, epoch in list(self._staged):
+        for number, epoch in list(self._pending_installs):
             if number == slot.replica_set.slot and epoch <= slot.replica_set.epoch:
-                del self._staged[number, epoch]  # left behind by a mover that died
+                del self._pending_installs[
+                    number, epoch
+                ]  # left by a node that failed during its move
 
-    def _find(self, slot_number: int, epoch: int) -> Slot | StaleEpoch:
+    def _find_slot(self, slot_number: int, epoch: int) -> Slot | StaleEpoch:
         slot = self.slots.get(slot_number)
         if slot is None:
             return StaleEpoch(None)
@@ -126,10 +134,13 @@
             return StaleEpoch(slot.replica_set)
         return slot
 
-    def _open(self, message: Prepare | Accept) -> Register | StaleEpoch | Expired:
-        """The register a proposal is about, made if need be, or why it is not to be had."""
+    def _get_or_create_register(self, message: Prepare | Accept) -> Register | StaleEpoch | Expired:
+        """Return the register that a proposal concerns, creating it if it does not exist.
+
+        Returns the refusal to send instead if the epoch is over or the record's id has expired.
+        """
         self.operations += 1
-        slot = self._find(message.slot, message.epoch)
+        slot = self._find_slot(message.slot, message.epoch)
         if isinstance(slot, StaleEpoch):
             return slot
         register = slot.registers.get(message.key)
@@ -142,9 +153,9 @@
         return register
 
     async def on_prepare(self, _peer: str, message: AnyMessage) -> AnyMessage:
-        """Answer phase one."""
+        """Handle phase one: promise the ballot if it is higher than every promised one."""
         assert isinstance(message, Prepare)
-        register = self._open(message)
+        register = self._get_or_create_register(message)
         if not isinstance(register, Register):
             return register
         if message.ballot <= register.promised:
@@ -153,9 +164,9 @@
         return Promise(register.accepted, register.value)
 
     async def on_accept(self, _peer: str, message: AnyMessage) -> AnyMessage:
-        """Answer phase two, or the fast round."""
+        """Handle phase two and the fast round: accept the value unless a promise forbids it."""
         assert isinstance(message, Accept)
-        register = self._open(message)
+        register = self._get_or_create_register(message)
         if not isinstance(register, Register):
             return register
         if message.ballot == FAST_BALLOT:
@@ -169,8 +180,8 @@
 
     @staticmethod
     def _accept_fast(register: Register, message: Accept) -> AnyMessage:
-        # Only an untouched register takes a value in the fast round. It promises round 1 to the
-        # owner at once, so that the owner's next write needs no phase one.
+        # Only an unused register accepts a value in the fast round. It promises round 1 to the
+        # owner at the same time, so that the owner's next write needs no phase one.
         untouched = register.accepted is None and register.promised == FAST_BALLOT
         if not untouched:
             return Rejected(register.promised)
@@ -180,10 +191,10 @@
         return Accepted()
 
     async def on_read(self, _peer: str, message: AnyMessage) -> AnyMessage:
-        """Answer a read that promises nothing."""
+        """Return the accepted ballot and value of a record without promising a ballot."""
         assert isinstance(message, ReadRecord)
         self.operations += 1
-        slot = self._find(message.slot, message.epoch)
+        slot = self._find_slot(message.slot, message.epoch)
         if isinstance(slot, StaleEpoch):
             return slot
         register = slot.registers.get(message.key)
@@ -192,25 +203,25 @@
         return Promise(register.accepted, register.value)
 
     async def on_seal(self, _peer: str, message: AnyMessage) -> AnyMessage:
-        """End the epoch on this replica and hand over its registers."""
+        """End the epoch on this replica and return a page of its registers."""
         assert isinstance(message, Seal)
         slot = self.slots.get(message.slot)
         if slot is None:
             return StaleEpoch(None)
         if slot.replica_set == message.next_set:
-            # Installed here already. What this replica accepted since may be passed on: it is as
-            # if the new member had received the same Accept.
-            return self._page(slot, message.after)
+            # The next set is already installed here. Values accepted since then may be passed on:
+            # for the new member this is the same as receiving the Accept messages itself.
+            return self._state_page(slot, message.after)
         if slot.replica_set.epoch != message.epoch:
             return StaleEpoch(slot.replica_set)
         if slot.sealed_by not in (None, message.next_set):
-            return StaleEpoch(slot.sealed_by)  # an epoch is ended by one set only
+            return StaleEpoch(slot.sealed_by)  # an epoch can be followed by only one set
         slot.sealed_by = message.next_set
-        self._learn(message.next_set)
-        return self._page(slot, message.after)
+        self._on_replica_set(message.next_set)
+        return self._state_page(slot, message.after)
 
     def end_epoch(self, newer: ReplicaSet) -> None:
-        """Seal a slot that moved without reaching this replica: its newer set was agreed."""
+        """Seal a slot whose agreed move to `newer` did not reach this replica."""
         slot = self.slots.get(newer.slot)
         if slot is None or slot.sealed_by is not None:
             return
@@ -218,8 +229,11 @@
             slot.sealed_by = newer
 
     @staticmethod
-    def _page(slot: Slot, after: str) -> SlotState:
-        """Registers after a key, up to a page full. A sealed slot does not change meanwhile."""
+    def _state_page(slot: Slot, after: str) -> SlotState:
+        """Return the registers with keys above `after`, up to one page.
+
+        A sealed slot does not change between two pages.
+        """
         records = []
         size = 0
         for key in sorted(key for key in slot.registers if key > after):
@@ -233,39 +247,45 @@
         return SlotState(records, slot.forgotten)
 
     async def on_install(self, _peer: str, message: AnyMessage) -> AnyMessage:
-        """Start an epoch with the state that a majority of the old one held."""
+        """Add a page of the state merged from a majority of the old set.
+
+        The last page starts the epoch on this replica.
+        """
         assert isinstance(message, Install)
         target = message.replica_set
         if self.identity not in target.members:
             return StaleEpoch(None)
         if self._highest_epochs.get(target.slot, 0) >= target.epoch:
             return Done() if target.slot in self.slots else StaleEpoch(None)
-        staged = self._staged.setdefault((target.slot, target.epoch), Slot(target))
-        self._stage(staged, message.state)
+        pending = self._pending_installs.setdefault((target.slot, target.epoch), Slot(target))
+        self._add_page(pending, message.state)
         if not message.state.is_last:
             return Done()
-        staged.forgotten = max(staged.forgotten, target.floor)
-        self._start(staged)
-        self._learn(target)
+        pending.forgotten = max(pending.forgotten, target.floor)
+        self._start_epoch(pending)
+        self._on_replica_set(target)
         log.info("replica installed", extra={"slot": target.slot, "epoch": target.epoch})
         return Done()
 
     @staticmethod
-    def _stage(staged: Slot, state: SlotState) -> None:
-        """Add a page. Pages of two movers may mix: each mover's pages hold every agreed value, and
-        the higher ballot wins."""
-        staged.forgotten = max(staged.forgotten, state.forgotten)
+    def _add_page(pending: Slot, state: SlotState) -> None:
+        """Add a page of state to a pending installation.
+
+        Pages from two nodes that move the slot at the same time may be mixed: the pages of each
+        contain every agreed value, and the value with the higher ballot is kept.
+        """
+        pending.forgotten = max(pending.forgotten, state.forgotten)
         for record in state.records:
-            standing = staged.registers.get(record.key)
+            standing = pending.registers.get(record.key)
             if standing is not None and standing.promised >= record.accepted:
                 continue
-            # A promise no lower than what was accepted keeps ballots of the old epoch out.
-            staged.registers[record.key] = Register(
+            # Promise the accepted ballot, so that lower ballots of the old epoch are rejected.
+            pending.registers[record.key] = Register(
                 record.dated, record.accepted, record.accepted, record.value
             )
 
     def sealed(self) -> list[tuple[ReplicaSet, ReplicaSet]]:
-        """Old and agreed set of each slot that was sealed here and not installed again."""
+        """Return the old and the next set of each slot sealed here and not yet installed again."""
         return [
             (slot.replica_set, slot.sealed_by)
             for slot in self.slots.values()
@@ -273,13 +293,13 @@
         ]
 
     def drop(self, slot_number: int) -> None:
-        """Drop a sealed slot whose new set is installed elsewhere."""
+        """Drop a sealed slot; the caller has made sure that its next set serves."""
         slot = self.slots.get(slot_number)
         if slot is not None and slot.sealed_by is not None:
             del self.slots[slot_number]
 
     def forget_before(self, date: int) -> int:
-        """Drop records dated before `date` (milliseconds); return how many."""
+        """Drop records dated before `date` (milliseconds); return the number dropped."""
         dropped = 0
         for slot in self.slots.values():
             old = [k for k, r in slot.registers.items() if r.dated != UNDATED and r.dated < date]
@@ -289,5 +309,5 @@
         return dropped
 
     def record_count(self) -> int:
-        """Registers held, over all slots."""
+        """Return the number of registers in all slots."""
         return sum(len(slot.registers) for slot in self.slots.values())
