--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -269,9 +269,7 @@
         self._raise_if_epoch_changed(replica_set, answers)
         if rejected:
             raise Contention(record.key)
-        raise NoQuorum(
-            f"{len(matching)} of {len(replica_set.members)} replicas agreed on {record.key}"
-        )
+        raise NoQuorum(f"{len(matching)} of {len(replica_set.members)} for {record.key}")
 
     # --- asking
 
@@ -295,7 +293,7 @@
     @staticmethod
     def _raise_if_expired(answers: Mapping[str, AnyMessage]) -> None:
         if any(isinstance(answer, Expired) for answer in answers.values()):
-            raise RecordExpired("the record id is older than the records that the replicas keep")
+            raise RecordExpired("the id is older than what the replicas remember")
 
     async def _call_replicas(
         self,
