--- a/src/crankseam/records/__init__.py
+++ b/src/crankseam/records/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated records: registers agreed by a majority of three replicas."""
+"""Replicated records: registers whose values are agreed by a majority of three replicas."""
