--- a/tests/records/test_small_worlds.py
+++ b/tests/records/test_small_worlds.py
@@ -1,15 +1,16 @@
-"""Every order of messages in small worlds: what was told once stays true.
-
-A world is three replicas of one record and a few proposers, each a fixed program of rounds.
-Messages arrive in any order, late or never; a proposer may stop waiting for a fast round at any
-moment; a reader may look at any moment and hear any majority in any order, at one moment or one
-after the other. Replicas are the product's own (`ReplicaStore`), as are the rules (`agreement`);
-the programs stand for `Proposer`. Each value is the list of the changes that made it, so that
-values told to callers must continue one another.
-
-Proved here, for these sizes: agreement within one epoch with fast and classic rounds, and over one
-move made by two movers who read any two replicas and reach the members in any order. Not proved
-here: two moves in a row, more proposers, replicas that are founded anew, and expiry.
+"""Exhaustive model checking of small systems: a value returned to a caller stays agreed.
+
+A system consists of three replicas of one record and a few proposers, each with a fixed program of
+rounds. Messages arrive in any order, late or never. A proposer may stop waiting for a fast round at
+any time. A reader may read at any time and receive the answers of any majority in any order, all
+taken at one moment or one after the other. The replicas (`ReplicaStore`) and the rules
+(`agreement`) are the production code; the programs model `Proposer`. Each value is the list of the
+changes that produced it, so of any two values returned to callers one must extend the other.
+
+Proved for these sizes: agreement within one epoch with fast and classic rounds, and across one move
+that two nodes carry out, where each reads any two replicas and reaches the new members in any
+order. Not covered: two moves in succession, more proposers, replica sets that are founded again,
+and expiry.
 """
 
 from __future__ import annotations
@@ -49,25 +50,26 @@
 MEMBERS = ["a@1", "b@1", "c@1"]
 OLD_SET = ReplicaSet(0, 1, MEMBERS, 0)
 NEW_SET = ReplicaSet(0, 2, ["b@1", "d@1", "e@1"], 0)
-MOST_WORLDS = 40_000
-"""States that a world may have, so that the test's time has a bound: some ten seconds each. Two
-changers with a slow reader have more than could be played in four minutes."""
+MAX_STATES = 40_000
+"""Maximum number of states of one system, which bounds a test case to about ten seconds. Two
+proposers that change the record beside a slow reader have more states than can be explored in four
+minutes."""
 
-Held = tuple[Ballot, Ballot | None, bytes | None]
-"""What a replica holds: promised, accepted, value."""
-UNTOUCHED: Held = (FAST_BALLOT, None, None)
+RegisterState = tuple[Ballot, Ballot | None, bytes | None]
+"""Promised ballot, accepted ballot and value of a replica's register."""
+UNUSED_REGISTER: RegisterState = (FAST_BALLOT, None, None)
 
 
 def run(coroutine):
-    """The outcome of a coroutine that waits for nothing."""
+    """Run a coroutine that never suspends and return its result."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise AssertionError("a replica waited for something")
+    raise AssertionError("a replica's handler suspended")
 
 
-def store_of(member: str, held: Held) -> ReplicaStore:
+def make_store(member: str, held: RegisterState) -> ReplicaStore:
     store = ReplicaStore(member, lambda _set: None)
     promised, accepted, value = held
     store.slots[0] = Slot(OLD_SET, {KEY: Register(DATED, promised, accepted, value)})
@@ -75,29 +77,29 @@
     return store
 
 
-def held_by(store: ReplicaStore) -> Held:
+def register_state_of(store: ReplicaStore) -> RegisterState:
     register = store.slots[0].registers[KEY]
     return register.promised, register.accepted, register.value
 
 
-def deliver(held: Held, message: AnyMessage) -> tuple[Held, object]:
-    store = store_of("a@1", held)
+def deliver(held: RegisterState, message: AnyMessage) -> tuple[RegisterState, object]:
+    store = make_store("a@1", held)
     answer = run(store.handlers()[type(message)]("peer", message))
-    return held_by(store), answer
+    return register_state_of(store), answer
 
 
-def added(value: bytes | None, change: str) -> bytes:
-    """The value after a change; a change that is in it already is not made again."""
+def append_change(value: bytes | None, change: str) -> bytes:
+    """Return the value after a change; a change that it already contains is not repeated."""
     changes = value.decode().split(",") if value else []
     return ",".join(changes if change in changes else [*changes, change]).encode()
 
 
-def continues(later: bytes, earlier: bytes) -> bool:
+def extends(later: bytes, earlier: bytes) -> bool:
     return later == earlier or later.startswith(earlier + b",")
 
 
-def good_answer(answer: object) -> tuple:
-    """Ballot and value of a promise, two empty ones of an acceptance, and nothing of a refusal."""
+def positive_answer(answer: object) -> tuple:
+    """Return (ballot, value) for a Promise, (None, None) for Accepted, and () for a refusal."""
     if isinstance(answer, Promise):
         return answer.accepted, answer.value
     return (None, None) if isinstance(answer, Accepted) else ()
@@ -105,14 +107,14 @@
 
 @dataclass(frozen=True)
 class Program:
-    """A proposer's rounds still to come and the one under way.
+    """The state of a proposer: its current round and its remaining rounds.
 
     Attributes:
-        rounds: "fast", "owned" (the write with the promised ballot), "classic" and "read", in
-            order; a classic round is taken only if what came before it did not succeed.
+        rounds: remaining rounds in order: "fast", "owned" (the write with the promised ballot),
+            "classic" and "read". A classic round runs only if the round before it failed.
         phase: "fast", "owned", "prepare", "accept", "read" or "done".
         waiting: members that the message of this phase has not reached.
-        heard: members that answered, with the ballot and value of those that gave a good answer.
+        heard: members that answered, each followed by its ballot and value if it did not refuse.
     """
 
     name: str
@@ -135,11 +137,11 @@
             return Prepare(0, 1, KEY, DATED, ballot)
         return Accept(0, 1, KEY, DATED, ballot, self.value)
 
-    def begun(self) -> Program:
-        """With the next round begun."""
+    def start_next_round(self) -> Program:
+        """Return the program at the start of its next round."""
         if not self.rounds:
             return replace(self, phase="done", waiting=(), heard=())
-        first, *rest = self.rounds
+        first, *remaining = self.rounds
         if first == "classic":
             phase, value, epoch_round = "prepare", b"", self.epoch_round + 1
         elif first == "read":
@@ -147,160 +149,174 @@
         elif first == "owned":
             phase, value, epoch_round = (
                 "owned",
-                added(self.value, f"{self.name}2"),
+                append_change(self.value, f"{self.name}2"),
                 self.epoch_round,
             )
         else:
-            phase, value, epoch_round = "fast", added(None, self.name), self.epoch_round
-        everyone = tuple(MEMBERS)
-        return Program(self.name, tuple(rest), epoch_round, phase, everyone, (), value)
+            phase, value, epoch_round = "fast", append_change(None, self.name), self.epoch_round
+        all_members = tuple(MEMBERS)
+        return Program(self.name, tuple(remaining), epoch_round, phase, all_members, (), value)
 
-    def after(self, member: str, answer: object) -> tuple[Program, bytes | None]:
-        """With an answer heard, and the value that its caller is told now."""
+    def handle_answer(self, member: str, answer: object) -> tuple[Program, bytes | None]:
+        """Return the program after an answer, and the value returned to its caller, if any."""
         waiting = tuple(other for other in self.waiting if other != member)
-        heard = (*self.heard, (member, *good_answer(answer)))
+        heard = (*self.heard, (member, *positive_answer(answer)))
         now = replace(self, waiting=waiting, heard=heard)
-        good = [Promise(*parts) for _member, *parts in heard if parts]
+        positive = [Promise(*parts) for _member, *parts in heard if parts]
         needed = len(MEMBERS) if self.phase == "fast" else majority(OLD_SET)
         if self.phase == "read":
             return now, None
-        if len(good) < needed:
-            return (now if waiting else now.without_success()), None
+        if len(positive) < needed:
+            return (now if waiting else now.fall_back()), None
         if self.phase == "prepare":
-            value = added(highest_accepted_value(good), self.name)
+            value = append_change(highest_accepted_value(positive), self.name)
             accepting = replace(now, phase="accept", waiting=tuple(MEMBERS), heard=(), value=value)
             return accepting, None
         if self.phase == "fast" and self.rounds[:1] == ("owned",):
-            return now.begun(), self.value
+            return now.start_next_round(), self.value
         return replace(now, rounds=(), phase="done", waiting=(), heard=()), self.value
 
-    def without_success(self) -> Program:
-        """The way that is taken after a round that failed or is not waited for any more."""
+    def fall_back(self) -> Program:
+        """Return the program that continues after a failed or abandoned round."""
         classic = tuple(r for r in self.rounds if r == "classic")
-        return replace(self, rounds=classic).begun()
+        return replace(self, rounds=classic).start_next_round()
 
 
-def program(name: str, *rounds: str, epoch_round: int = 1) -> Program:
-    return Program(name, rounds, epoch_round, "done").begun()
+def make_program(name: str, *rounds: str, epoch_round: int = 1) -> Program:
+    return Program(name, rounds, epoch_round, "done").start_next_round()
 
 
 @dataclass(frozen=True)
-class World:
-    """Replicas, proposers, messages that nobody waits for, and what callers were told."""
+class SystemState:
+    """A state of the system.
 
-    replicas: tuple[Held, ...]
+    Attributes:
+        replicas: state of the register on each replica.
+        programs: state of each proposer.
+        late: messages still in transit whose proposer no longer waits for an answer.
+        returned: values returned to callers so far.
+        reads_left: reads at one moment that may still occur.
+    """
+
+    replicas: tuple[RegisterState, ...]
     programs: tuple[Program, ...]
     late: frozenset[tuple[str, bytes, object]]
-    told: frozenset[bytes]
+    returned: frozenset[bytes]
     reads_left: int
 
 
-def left_behind(before: Program, after: Program) -> set:
-    """Messages still under way of a round that its proposer left."""
+def abandoned_messages(before: Program, after: Program) -> set:
+    """Return the messages still in transit of a round that its proposer abandoned."""
     if before.phase == "read" or (after.phase, after.epoch_round) == (
         before.phase,
         before.epoch_round,
     ):
         return set()
     message = before.message()
-    return {(member, type(message).__name__, frozen(message)) for member in before.waiting}
+    return {(member, type(message).__name__, to_hashable(message)) for member in before.waiting}
 
 
-def frozen(message: Prepare | Accept) -> tuple:
+def to_hashable(message: Prepare | Accept) -> tuple:
     value, owner = (message.value, message.owner) if isinstance(message, Accept) else (b"", "")
     return message.ballot, value, owner
 
 
-def thawed(kind: str, parts: tuple) -> Prepare | Accept:
+def from_hashable(kind: str, parts: tuple) -> Prepare | Accept:
     ballot, value, owner = parts
     if kind == "Prepare":
         return Prepare(0, 1, KEY, DATED, ballot)
     return Accept(0, 1, KEY, DATED, ballot, value, owner)
 
 
-def with_replica(world: World, member: str, held: Held) -> World:
+def with_replica(state: SystemState, member: str, held: RegisterState) -> SystemState:
     index = MEMBERS.index(member)
-    replicas = (*world.replicas[:index], held, *world.replicas[index + 1 :])
-    return replace(world, replicas=replicas)
+    replicas = (*state.replicas[:index], held, *state.replicas[index + 1 :])
+    return replace(state, replicas=replicas)
 
 
-def with_told(world: World, value: bytes) -> World:
-    for earlier in world.told:
-        assert continues(value, earlier) or continues(earlier, value), (
-            f"told {earlier!r} and {value!r}"
+def with_returned_value(state: SystemState, value: bytes) -> SystemState:
+    for earlier in state.returned:
+        assert extends(value, earlier) or extends(earlier, value), (
+            f"returned {earlier!r} and {value!r}"
         )
-    return replace(world, told=world.told | {value})
+    return replace(state, returned=state.returned | {value})
 
 
-def with_program(world: World, index: int, after: Program, reached: str | None) -> World:
-    before = world.programs[index]
-    rest = {entry for entry in left_behind(before, after) if entry[0] != reached}
-    programs = (*world.programs[:index], after, *world.programs[index + 1 :])
-    return replace(world, programs=programs, late=world.late | rest)
+def with_program(
+    state: SystemState, index: int, after: Program, reached: str | None
+) -> SystemState:
+    before = state.programs[index]
+    abandoned = {entry for entry in abandoned_messages(before, after) if entry[0] != reached}
+    programs = (*state.programs[:index], after, *state.programs[index + 1 :])
+    return replace(state, programs=programs, late=state.late | abandoned)
 
 
-def steps(world: World) -> Iterator[World]:
-    """Each world that may follow by one event."""
-    for index, proposer in enumerate(world.programs):
+def steps(state: SystemState) -> Iterator[SystemState]:
+    """Yield each state that can follow by one event."""
+    for index, proposer in enumerate(state.programs):
         for member in proposer.waiting:
-            held, answer = deliver(world.replicas[MEMBERS.index(member)], proposer.message())
-            after, told = proposer.after(member, answer)
-            following = with_program(with_replica(world, member, held), index, after, member)
-            yield with_told(following, told) if told is not None else following
+            held, answer = deliver(state.replicas[MEMBERS.index(member)], proposer.message())
+            after, returned = proposer.handle_answer(member, answer)
+            successor = with_program(with_replica(state, member, held), index, after, member)
+            yield with_returned_value(successor, returned) if returned is not None else successor
         if proposer.phase == "read":
-            yield from read_ends(world, index)
+            yield from finish_read(state, index)
         if proposer.phase in ("fast", "owned") and proposer.heard:
-            yield with_program(world, index, proposer.without_success(), None)
-    for entry in world.late:
+            yield with_program(state, index, proposer.fall_back(), None)
+    for entry in state.late:
         member, kind, parts = entry
-        held, _answer = deliver(world.replicas[MEMBERS.index(member)], thawed(kind, parts))
-        yield replace(with_replica(world, member, held), late=world.late - {entry})
-    if world.reads_left:
-        yield from reads(world)
+        held, _answer = deliver(state.replicas[MEMBERS.index(member)], from_hashable(kind, parts))
+        yield replace(with_replica(state, member, held), late=state.late - {entry})
+    if state.reads_left:
+        yield from atomic_reads(state)
 
 
-def read_ends(world: World, index: int) -> Iterator[World]:
-    """The read ends with what it heard so far, if its answers tell a value."""
-    reader = world.programs[index]
+def finish_read(state: SystemState, index: int) -> Iterator[SystemState]:
+    """Yield the state after the read ends with its answers so far, if they prove a value."""
+    reader = state.programs[index]
     answers = {member: Promise(*parts) for member, *parts in reader.heard}
     agreed = agreed_by_majority(OLD_SET, answers)
     if agreed is not None and agreed.value is not None:
         after = replace(reader, rounds=(), phase="done", waiting=(), heard=())
-        yield with_told(with_program(world, index, after, None), agreed.value)
+        yield with_returned_value(with_program(state, index, after, None), agreed.value)
 
 
-def reads(world: World) -> Iterator[World]:
+def atomic_reads(state: SystemState) -> Iterator[SystemState]:
     answers = {
         member: Promise(accepted, value)
-        for member, (_promised, accepted, value) in zip(MEMBERS, world.replicas, strict=True)
+        for member, (_promised, accepted, value) in zip(MEMBERS, state.replicas, strict=True)
     }
     for count in (2, 3):
         for order in itertools.permutations(MEMBERS, count):
             agreed = agreed_by_majority(OLD_SET, {member: answers[member] for member in order})
             if agreed is None:
                 continue
-            for earlier in world.told:
+            for earlier in state.returned:
                 assert agreed.value is not None, f"read nothing after {earlier!r}"
-                assert continues(agreed.value, earlier), f"read {agreed.value!r}, told {earlier!r}"
-            if agreed.value is not None and agreed.value not in world.told:
-                yield replace(with_told(world, agreed.value), reads_left=world.reads_left - 1)
+                assert extends(agreed.value, earlier), (
+                    f"read {agreed.value!r} after {earlier!r} was returned"
+                )
+            if agreed.value is not None and agreed.value not in state.returned:
+                yield replace(
+                    with_returned_value(state, agreed.value), reads_left=state.reads_left - 1
+                )
 
 
-def explored(world: World) -> set[World]:
-    """All worlds that may come of one; raises AssertionError where a caller was told wrongly."""
-    seen = {world}
-    to_do = [world]
-    while to_do:
-        for following in steps(to_do.pop()):
-            if following not in seen:
-                seen.add(following)
-                to_do.append(following)
-        assert len(seen) < MOST_WORLDS, "more worlds than the test's time allows"
-    return seen
+def reachable_states(state: SystemState) -> set[SystemState]:
+    """Return all reachable states; raises AssertionError if a caller gets a wrong value."""
+    visited = {state}
+    frontier = [state]
+    while frontier:
+        for successor in steps(frontier.pop()):
+            if successor not in visited:
+                visited.add(successor)
+                frontier.append(successor)
+        assert len(visited) < MAX_STATES, "more states than the test's time allows"
+    return visited
 
 
-def world_of(*programs: Program, reads_left: int = 2) -> World:
-    return World((UNTOUCHED,) * 3, programs, frozenset(), frozenset(), reads_left)
+def initial_state(*programs: Program, reads_left: int = 2) -> SystemState:
+    return SystemState((UNUSED_REGISTER,) * 3, programs, frozenset(), frozenset(), reads_left)
 
 
 @pytest.mark.parametrize(
@@ -316,30 +332,30 @@
     ],
 )
 def test_what_was_told_stays_true_in_every_order(programs):
-    worlds = explored(world_of(*(program(*each.split()) for each in programs)))
-    assert any(world.told for world in worlds)
+    states = reachable_states(initial_state(*(make_program(*each.split()) for each in programs)))
+    assert any(state.returned for state in states)
 
 
-# --- one move by two movers
+# --- one move carried out by two nodes
 
 
-def old_worlds() -> list[tuple[tuple[Held, ...], frozenset[bytes]]]:
-    """What replicas may hold, and what was told, when a move begins; each once."""
-    old = program("q", "classic", epoch_round=9)
-    worlds = explored(world_of(program("p", "classic"), old, reads_left=0))
-    return sorted({(world.replicas, world.told) for world in worlds}, key=repr)
+def old_set_states() -> list[tuple[tuple[RegisterState, ...], frozenset[bytes]]]:
+    """Return each distinct state of the replicas and returned values when a move begins."""
+    old = make_program("q", "classic", epoch_round=9)
+    states = reachable_states(initial_state(make_program("p", "classic"), old, reads_left=0))
+    return sorted({(state.replicas, state.returned) for state in states}, key=repr)
 
 
-def installed(stores: dict[str, ReplicaStore], readers: tuple[str, ...], targets) -> None:
-    """A mover seals and reads these members of the old set, then installs on these of the new."""
+def move_state(stores: dict[str, ReplicaStore], readers: tuple[str, ...], targets) -> None:
+    """Seal and read `readers` of the old set, then install the state on `targets` of the new."""
     seal = Seal(0, OLD_SET.epoch, NEW_SET, "")
     state = merge_states([run(stores[member].on_seal("mover", seal)) for member in readers])
     for member in targets:
         run(stores[member].on_install("mover", Install(NEW_SET, state)))
 
 
-def promises_of(stores, members: tuple[str, ...], name: str) -> tuple[Ballot, list[Promise]]:
-    """What these members promise a proposer that has made no try in the new epoch yet."""
+def collect_promises(stores, members: tuple[str, ...], name: str) -> tuple[Ballot, list[Promise]]:
+    """Return the ballot and promises that a proposer new to the epoch gets from these members."""
     epoch_round = 1
     while True:
         ballot = make_ballot(NEW_SET, epoch_round, name)
@@ -351,41 +367,42 @@
         epoch_round = max(epoch_round_of(NEW_SET, promised) for promised in rejected) + 1
 
 
-def changed_in_new_epoch(stores, members: tuple[str, ...]) -> bytes:
-    """A change by a proposer that reaches these members; what it is told."""
-    ballot, promises = promises_of(stores, members, "young@1")
-    value = added(highest_accepted_value(promises), "young")
+def change_in_new_epoch(stores, members: tuple[str, ...]) -> bytes:
+    """Change the record with a proposer that reaches these members; return the agreed value."""
+    ballot, promises = collect_promises(stores, members, "young@1")
+    value = append_change(highest_accepted_value(promises), "young")
     accept = Accept(0, 2, KEY, DATED, ballot, value)
     for member in members:
         assert isinstance(run(stores[member].on_accept("young@1", accept)), Accepted)
     return value
 
 
-def read_by(stores, members: tuple[str, ...]) -> bytes | None:
-    """What a round that hears these members continues with."""
-    _ballot, promises = promises_of(stores, members, "reader@1")
+def value_read_from(stores, members: tuple[str, ...]) -> bytes | None:
+    """Return the value that a classic round with the answers of these members continues with."""
+    _ballot, promises = collect_promises(stores, members, "reader@1")
     return highest_accepted_value(promises)
 
 
-def move_orders() -> Iterator[tuple]:
-    """Who is read by each mover, where the first one installs, whom the last reader hears."""
+def move_schedules() -> Iterator[tuple]:
+    """Yield the members read by each moving node, those that the first one installs, and those
+    that the last reader hears."""
     pairs = list(itertools.combinations(MEMBERS, 2))
     new_pairs = list(itertools.combinations(NEW_SET.members, 2))
     return itertools.product(pairs, pairs, new_pairs, new_pairs)
 
 
 def test_two_movers_lose_nothing_that_was_told():
-    played = 0
-    for (held, told), order in itertools.product(old_worlds(), move_orders()):
+    schedule_count = 0
+    for (held, returned), order in itertools.product(old_set_states(), move_schedules()):
         first_readers, second_readers, reached, heard = order
-        stores = {m: store_of(m, h) for m, h in zip(MEMBERS, held, strict=True)}
+        stores = {m: make_store(m, h) for m, h in zip(MEMBERS, held, strict=True)}
         stores |= {m: ReplicaStore(m, lambda _set: None) for m in ("d@1", "e@1")}
-        installed(stores, first_readers, reached)
-        value = changed_in_new_epoch(stores, reached)
-        for earlier in told:
-            assert continues(value, earlier), f"{order}: {value!r} after {earlier!r}"
+        move_state(stores, first_readers, reached)
+        value = change_in_new_epoch(stores, reached)
+        for earlier in returned:
+            assert extends(value, earlier), f"{order}: {value!r} after {earlier!r}"
         lagging = [member for member in NEW_SET.members if member not in reached]
-        installed(stores, second_readers, lagging)
-        assert read_by(stores, heard) == value, f"{order}: {held}"
-        played += 1
-    assert played > 1000
+        move_state(stores, second_readers, lagging)
+        assert value_read_from(stores, heard) == value, f"{order}: {held}"
+        schedule_count += 1
+    assert schedule_count > 1000
