--- a/tests/records/test_fast_round_reads.py
+++ b/tests/records/test_fast_round_reads.py
@@ -1,12 +1,11 @@
-"""A read must not tell a value that nobody agreed on.
+"""A read must not return a value that is not agreed.
 
-What happened: three callers create one record at the same moment, and each reaches another replica
-first. Each replica then holds another value at the fast ballot, and none of the three is agreed.
-A read that heard all three replicas answered with the value of whichever answered first, another
-one at the next read, and the change after it continued with a third. Why: that all replicas had
-accepted something at the fast ballot was taken for agreement; the values were not compared.
-What showed it: three reads in a row by one majority read answered `1, 0, 1` and the next change
-`0`; of 400 tries with such replicas 329 answered two values.
+Three callers create one record at the same time and each reaches a different replica first, so that
+each replica holds a different value at the fast ballot and none is agreed. Reads used to take the
+fact that all replicas had accepted at the fast ballot as agreement, without comparing the values:
+each read that got the answers of all three replicas returned the value of the one that answered
+first, and a later change continued with another value. Three reads in a row returned `1, 0, 1` and
+the next change `0`; 329 of 400 attempts with such replicas returned two values.
 """
 
 import asyncio
@@ -22,7 +21,7 @@
 
 MEMBERS = ["a@1", "b@1", "c@1"]
 SET = ReplicaSet(0, 1, MEMBERS, 0)
-WHERE = RecordKey(0, "record", 1000)
+RECORD = RecordKey(0, "record", 1000)
 ORDERS = list(itertools.permutations(MEMBERS))
 
 
@@ -40,22 +39,25 @@
 
 
 async def _reads_and_a_change(orders) -> list[bytes | None]:
-    """What successive reads and the change after them tell, each hearing replicas in its order."""
+    """Return the results of successive reads and a final change.
+
+    Each operation gets the answers of the replicas in its own order.
+    """
     cluster = MemoryCluster(MEMBERS)
     replica_set = cluster.found(MEMBERS)
     for member, value in zip(MEMBERS, (b"x", b"y", b"z"), strict=True):
-        message = Accept(0, 1, WHERE.key, WHERE.dated, FAST_BALLOT, value, f"{member}-first")
+        message = Accept(0, 1, RECORD.key, RECORD.dated, FAST_BALLOT, value, f"{member}-first")
         await cluster.deliver("writer", member, message)
-    told = []
+    values_returned = []
     for number, order in enumerate(orders):
         cluster.delay_s = lambda _c, target, _m, order=order: 0.001 * (1 + order.index(target))
         client = cluster.client(f"reader{number}@1", replica_set)
         if number < len(orders) - 1:
-            told.append(await client.proposer.read(WHERE))
+            values_returned.append(await client.proposer.read(RECORD))
         else:
-            told.append(await client.proposer.change(WHERE, lambda standing: standing))
-    await asyncio.sleep(1.0)  # messages that nobody waits for any more arrive as well
-    return told
+            values_returned.append(await client.proposer.change(RECORD, lambda standing: standing))
+    await asyncio.sleep(1.0)  # let messages arrive that no operation waits for any more
+    return values_returned
 
 
 @pytest.mark.parametrize("last", ORDERS)
@@ -64,7 +66,7 @@
     asyncio.set_event_loop(None)
     try:
         for orders in itertools.product(ORDERS, repeat=2):
-            told = loop.run_until_complete(_reads_and_a_change([*orders, last]))
-            assert len(set(told)) == 1, f"{orders}: {told}"
+            values_returned = loop.run_until_complete(_reads_and_a_change([*orders, last]))
+            assert len(set(values_returned)) == 1, f"{orders}: {values_returned}"
     finally:
         loop.close()
