--- a/tests/records/test_agreement.py
+++ b/tests/records/test_agreement.py
@@ -1,4 +1,4 @@
-"""What the answers of a slot's replicas agree on."""
+"""Which value the answers of a slot's replicas prove to be agreed."""
 
 from crankseam.peers.messages import FAST_BALLOT, Ballot, Promise, Rejected, ReplicaSet
 from crankseam.records.agreement import agreed_by_majority, highest_accepted_value
--- a/tests/records/test_record_machine.py
+++ b/tests/records/test_record_machine.py
@@ -1,11 +1,11 @@
-"""State machine over records: lost, slow and late messages, crashes, moves, in any order.
+"""State machine over records: lost, slow and late messages, crashes and moves, in any order.
 
-Invariant: what a caller was told is agreed stays agreed, and every reader sees it.
+Invariant: a value that a caller was told is agreed stays agreed, and every reader sees it.
 
-It runs on a clock of its own, so that its verdict is the same each time: that the fast round stops
-waiting for a slow replica is drawn like any other event. On the clock of the machine that came only
-beside load, and with it the fault of `test_fast_round_reads`: 16 of about 40 random seeds failed
-with fourteen such processes on 8 cores, and 0 of 3 runs alone.
+The test runs on a virtual clock to be reproducible: hypothesis also draws whether the fast round
+stops waiting for a slow replica. On the real clock this happened only on a loaded machine, and with
+it the failure of `test_fast_round_reads`: 16 of about 40 random seeds failed with fourteen such
+processes on 8 cores, and 0 of 3 runs with the test alone on the machine.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 from tests.support.memory_cluster import MemoryCluster
 from tests.support.virtual_clock import VirtualClockLoop
 
-KEYS = [RecordKey(0, f"record-{number}", 1000) for number in range(2)]
-MAX_LATE = 200
+RECORDS = [RecordKey(0, f"record-{number}", 1000) for number in range(2)]
+MAX_LATE_MESSAGES = 200
 DELAYS_S = [0.0, 0.5 * FAST_ROUND_GRACE_S, 1.5 * FAST_ROUND_GRACE_S, 3 * FAST_ROUND_GRACE_S]
-"""Ways of a slow message: the fast round's grace lapses over the longer two. A few fixed ones, so
-that answers also arrive at the same moment."""
+"""Delays of a slow message. The two longest exceed the time that the fast round waits. They are a
+few fixed values, so that some answers arrive at the same moment."""
 
 
 def decode(value):
@@ -35,7 +35,7 @@
 
 
 class RecordMachine(RuleBasedStateMachine):
-    """Each change adds an entry of its own to a list, so that no agreed change can be missed."""
+    """Each change appends a unique entry to a list, so that a lost agreed change is detected."""
 
     @initialize(seed=st.integers(0, 2**32), slow=st.sampled_from([0.0, 0.2, 0.5]))
     def begin(self, seed, slow):
@@ -43,12 +43,12 @@
         self.loop = VirtualClockLoop()
         self.cluster = MemoryCluster([f"{name}@1" for name in "abcde"])
         self.current: ReplicaSet = self.cluster.found(["a@1", "b@1", "c@1"])
-        self.runs = dict.fromkeys("abcde", 1)
+        self.incarnations = dict.fromkeys("abcde", 1)
         self.loss = 0.0
         self.slow = slow
         self.late = []
         self.entries = 0
-        self.agreed = {where.key: [] for where in KEYS}
+        self.agreed = {record.key: [] for record in RECORDS}
         self.clients = [self.cluster.client(f"p{n}@1", self.current) for n in range(3)]
         self.cluster.lose_request = self._lose_request
         self.cluster.lose_answer = lambda *_args: self.random.random() < self.loss
@@ -56,11 +56,11 @@
 
     def teardown(self):
         if hasattr(self, "loop"):
-            self._run(asyncio.sleep(2 * max(DELAYS_S)))  # calls that nobody waits for any more end
+            self._run(asyncio.sleep(2 * max(DELAYS_S)))  # let abandoned calls end
             self.loop.close()
 
     def _lose_request(self, caller, target, message):
-        if isinstance(message, Accept | Prepare) and len(self.late) < MAX_LATE:
+        if isinstance(message, Accept | Prepare) and len(self.late) < MAX_LATE_MESSAGES:
             if self.random.random() < 0.2:
                 self.late.append((caller, target, message))  # a copy that arrives much later
         return self.random.random() < self.loss
@@ -69,10 +69,10 @@
         is_slow = self.random.random() < self.slow
         return self.random.choice(DELAYS_S) if is_slow else 0.0
 
-    def _run(self, work):
-        return self.loop.run_until_complete(work)
+    def _run(self, operation):
+        return self.loop.run_until_complete(operation)
 
-    async def _add(self, client, where):
+    async def _append_entry(self, client, record):
         self.entries += 1
         entry = self.entries
         for _ in range(self.random.randrange(4)):
@@ -83,24 +83,24 @@
             return msgspec.msgpack.encode([*held, entry]) if entry not in held else None
 
         try:
-            value = await client.proposer.change(where, change)
+            value = await client.proposer.change(record, change)
         except RecordError:
             return
         if entry in decode(value):
-            self.agreed[where.key].append(entry)
+            self.agreed[record.key].append(entry)
 
-    async def _create(self, client, where):
+    async def _create(self, client, record):
         self.entries += 1
         entry = self.entries
         try:
-            owned = await client.proposer.create(where, msgspec.msgpack.encode([entry]))
+            owned = await client.proposer.create(record, msgspec.msgpack.encode([entry]))
             if owned is None:
                 return
-            self.agreed[where.key].append(entry)
+            self.agreed[record.key].append(entry)
             self.entries += 1
             second = [entry, self.entries]
-            if await client.proposer.overwrite(where, owned, msgspec.msgpack.encode(second)):
-                self.agreed[where.key].append(second[1])
+            if await client.proposer.overwrite(record, owned, msgspec.msgpack.encode(second)):
+                self.agreed[record.key].append(second[1])
         except RecordError:
             return
 
@@ -114,19 +114,21 @@
 
     @rule(count=st.integers(1, 4), fast=st.booleans())
     def write_at_once(self, count, fast):
-        async def work():
-            jobs = []
+        async def operation():
+            writes = []
             for _ in range(count):
                 client = self.random.choice(self.clients)
-                where = self.random.choice(KEYS)
-                jobs.append(self._create(client, where) if fast else self._add(client, where))
-            await asyncio.gather(*jobs)
+                record = self.random.choice(RECORDS)
+                writes.append(
+                    self._create(client, record) if fast else self._append_entry(client, record)
+                )
+            await asyncio.gather(*writes)
 
-        self._run(work())
+        self._run(operation())
 
     @rule()
     def late_messages_arrive(self):
-        async def work():
+        async def operation():
             self.random.shuffle(self.late)
             arriving, self.late = self.late, []
             loss, self.loss = self.loss, 0.0
@@ -137,14 +139,17 @@
                     self.cluster.lose_request = keep
             self.loss = loss
 
-        self._run(work())
+        self._run(operation())
 
-    def _sealed_or_serving(self):
-        """Sets that some replica holds; the newest one counts once a majority serves it."""
+    def _replica_sets_held(self):
+        """Return the sets that some replica holds, sealed or not.
+
+        The newest one is in force once a majority of its members serves it.
+        """
         stores = self.cluster.stores.values()
         return [store.slots[0].replica_set for store in stores if 0 in store.slots]
 
-    def _serving(self, replica_set):
+    def _count_serving(self, replica_set):
         serving = 0
         for member in replica_set.members:
             store = self.cluster.stores.get(member)
@@ -154,40 +159,40 @@
 
     @rule(choice=st.integers(0, 4))
     def crash_and_restart_one(self, choice):
-        """A replica loses its memory; only where that leaves every held set its majority."""
+        """Restart a replica without its memory, if every held set keeps a serving majority."""
         name = "abcde"[choice]
-        identity = f"{name}@{self.runs[name]}"
-        for replica_set in self._sealed_or_serving():
-            after = self._serving(replica_set) - (identity in replica_set.members)
+        identity = f"{name}@{self.incarnations[name]}"
+        for replica_set in self._replica_sets_held():
+            after = self._count_serving(replica_set) - (identity in replica_set.members)
             if identity in replica_set.members and after < majority(replica_set):
                 return
         self.cluster.stores.pop(identity, None)
-        self.runs[name] += 1
-        self.cluster.add(f"{name}@{self.runs[name]}")
+        self.incarnations[name] += 1
+        self.cluster.add(f"{name}@{self.incarnations[name]}")
 
     @rule()
     def reads_under_loss(self):
-        async def work():
-            for where in KEYS:
+        async def operation():
+            for record in RECORDS:
                 try:
-                    value = await self.random.choice(self.clients).proposer.read(where)
+                    value = await self.random.choice(self.clients).proposer.read(record)
                 except RecordError:
                     continue
-                known = set(self.agreed[where.key])
-                assert known <= set(decode(value)), f"{where.key}: a read missed what was agreed"
-                self.agreed[where.key] = decode(value)
+                known = set(self.agreed[record.key])
+                assert known <= set(decode(value)), f"{record.key}: a read missed an agreed entry"
+                self.agreed[record.key] = decode(value)
 
-        self._run(work())
+        self._run(operation())
 
     @rule(loss=st.sampled_from([0.0, 0.3, 0.6]))
     def move(self, loss):
         self.loss = loss
 
-        async def work():
+        async def operation():
             client = self.random.choice(self.clients)
-            newest = max(self._sealed_or_serving(), key=lambda s: s.epoch)
+            newest = max(self._replica_sets_held(), key=lambda s: s.epoch)
             client.slots.learn(newest)
-            living = [f"{name}@{run}" for name, run in self.runs.items()]
+            living = [f"{name}@{run}" for name, run in self.incarnations.items()]
             members = sorted(self.random.sample(living, 3))
             try:
                 moved = await client.reconfigurer.move(client.slots.get(0), members)
@@ -197,11 +202,11 @@
                 if self.random.random() < 0.7:
                     other.slots.learn(moved)
 
-        self._run(work())
+        self._run(operation())
 
     @rule()
     def finish_moves(self):
-        async def work():
+        async def operation():
             for store in list(self.cluster.stores.values()):
                 for old, agreed in store.sealed():
                     client = self.random.choice(self.clients)
@@ -210,32 +215,32 @@
                     except RecordError:
                         continue
 
-        self._run(work())
+        self._run(operation())
 
     @invariant()
     def what_was_agreed_is_seen(self):
         if not hasattr(self, "loop"):
             return
 
-        async def read(where):
+        async def read(record):
             loss, self.loss = self.loss, 0.0
             try:
-                newest = max(self._sealed_or_serving(), key=lambda s: s.epoch)
-                if self._serving(newest) < majority(newest):
-                    return None  # a move is half done: nobody is told anything meanwhile
+                newest = max(self._replica_sets_held(), key=lambda s: s.epoch)
+                if self._count_serving(newest) < majority(newest):
+                    return None  # a move is incomplete: no operation can succeed
                 reader = self.cluster.client("reader@1", newest)
-                return await reader.proposer.read(where)
+                return await reader.proposer.read(record)
             except RecordError:
                 return None
             finally:
                 self.loss = loss
 
-        for where in KEYS:
-            value = self._run(read(where))
+        for record in RECORDS:
+            value = self._run(read(record))
             if value is not None:
-                missing = set(self.agreed[where.key]) - set(decode(value))
-                assert not missing, f"{where.key} lost {missing}"
-                self.agreed[where.key] = decode(value)  # what was read once is agreed too
+                missing = set(self.agreed[record.key]) - set(decode(value))
+                assert not missing, f"{record.key} lost {missing}"
+                self.agreed[record.key] = decode(value)  # a value that was read is agreed as well
 
 
 RecordMachine.TestCase.settings = settings(max_examples=250, stateful_step_count=40)
--- a/tests/records/test_slots.py
+++ b/tests/records/test_slots.py
@@ -1,4 +1,4 @@
-"""Which nodes should be a slot's replicas."""
+"""Mapping of keys to slots and choice of the nodes that should be a slot's replicas."""
 
 from hypothesis import given
 from hypothesis import strategies as st
