--- a/src/crankseam/peers/transport.py
+++ b/src/crankseam/peers/transport.py
@@ -1,8 +1,8 @@
-"""Calls between nodes: length-prefixed frames on one TCP connection for each pair of nodes.
+"""Calls between nodes: length-prefixed frames over one TCP connection from each caller to a peer.
 
-Owns the connections, the numbers that match answers to calls, and the count of what was sent.
-Relies on `messages` for the bytes of a frame and on the handlers that others register. A call ends
-with its answer or a PeerError; nothing is sent a second time.
+Owns the connections, the numbers that match answers to calls, and the counters of sent bytes and
+frames. Relies on `messages` to encode frames and on the handlers that other modules register. A
+call ends with its answer or a PeerError; the transport never sends a message a second time.
 """
 
 from __future__ import annotations
@@ -34,14 +34,15 @@
 Handler = Callable[[str, AnyMessage], Awaitable[AnyMessage | None]]
 """Called with the peer's name and its message; None sends no answer."""
 
-M = TypeVar("M", bound=Message)
+AnswerType = TypeVar("AnswerType", bound=Message)
 
 CONNECT_TIMEOUT_S = 1.0
-"""As long as a call of the default `timing.peer_timeout` may take. Origin not recorded."""
+"""Time-out of establishing a connection, equal to the default of `timing.peer_timeout`."""
 HELLO_TIMEOUT_S = 5.0
-"""How long a new connection may take to say who calls. Origin not recorded."""
-MAX_CALLS_BEING_HANDLED = 1024
-"""Per connection; further frames wait in the socket, which bounds memory."""
+"""Time within which a new incoming connection must send its Hello message."""
+MAX_CONCURRENT_CALLS = 1024
+"""Calls handled at the same time per connection; further frames wait in the socket buffer, which
+bounds memory."""
 
 
 async def read_frame(reader: asyncio.StreamReader) -> Frame:
@@ -50,12 +51,12 @@
     Raises
     ======
 
-    FrameError : the bytes are no frame.
-    asyncio.IncompleteReadError : the connection ended.
+    FrameError : the bytes are not a valid frame.
+    asyncio.IncompleteReadError : the connection ended before the end of the frame.
     """
     size = int.from_bytes(await reader.readexactly(4), "big")
     if not 0 < size <= MAX_FRAME_BYTES:
-        raise FrameError(f"frame of {size} bytes")
+        raise FrameError(f"invalid frame size: {size} bytes")
     body = await reader.readexactly(size)
     try:
         return decode_frame(body)
@@ -64,7 +65,7 @@
 
 
 class FrameWriter:
-    """Joins the frames queued within one turn of the event loop into one write."""
+    """Combines the frames queued in one iteration of the event loop into one write."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -72,7 +73,7 @@
         self.bytes_sent = 0
 
     def send(self, frame: Frame) -> None:
-        """Queue a frame, which leaves at the end of this turn of the loop."""
+        """Queue a frame, which is written in the next iteration of the event loop."""
         if not self._queued:
             asyncio.get_running_loop().call_soon(self._flush)
         self._queued.append(encode_frame(frame))
@@ -90,28 +91,31 @@
 
 
 @dataclass
-class TrafficCount:
-    """Bytes and frames of a node's peer connections since it started."""
+class TrafficCounters:
+    """Bytes and frames sent on a node's peer connections since the process started."""
 
-    bytes_out: int = 0
-    """Of closed connections; open ones count their own."""
+    closed_bytes_out: int = 0
+    """Bytes sent on connections that are closed; the writer of an open one counts its own."""
     frames_out: int = 0
 
 
 class OutgoingConnection:
-    """A connection to one peer: one task reads the answers to the calls made on it."""
+    """A connection to one peer, opened at the first call and again after a failure.
+
+    One task reads the answers to the calls made on the connection.
+    """
 
     def __init__(self, address: str, transport: PeerTransport) -> None:
         self._address = address
         self._transport = transport
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[AnyMessage]] = {}
+        self._call_numbers = itertools.count(1)
+        self._pending_calls: dict[int, asyncio.Future[AnyMessage]] = {}
         self._writer: FrameWriter | None = None
         self._reader_task: asyncio.Task[None] | None = None
-        self._connecting = asyncio.Lock()
+        self._connect_lock = asyncio.Lock()
 
     async def _connect(self) -> FrameWriter:
-        async with self._connecting:
+        async with self._connect_lock:
             if self._writer is not None:
                 return self._writer
             host, _, port = self._address.rpartition(":")
@@ -135,56 +139,56 @@
         try:
             while True:
                 frame = await read_frame(reader)
-                waiter = self._waiting.pop(frame.call, None)
+                waiter = self._pending_calls.pop(frame.call, None)
                 if waiter is not None and not waiter.done():
                     waiter.set_result(frame.message)
         except (OSError, asyncio.IncompleteReadError, FrameError):
-            pass  # each call that waits here raises PeerUnreachable, which its caller handles
+            pass  # each pending call raises PeerUnreachable, which its caller handles
         finally:
-            self._break()
+            self._fail_pending_calls()
 
-    def _break(self) -> None:
+    def _fail_pending_calls(self) -> None:
         if self._writer is not None:
-            self._transport.traffic.bytes_out += self._writer.bytes_sent
+            self._transport.traffic.closed_bytes_out += self._writer.bytes_sent
             self._writer.close()
             self._writer = None
-        for waiter in self._waiting.values():
+        for waiter in self._pending_calls.values():
             if not waiter.done():
                 waiter.set_exception(PeerUnreachable(self._address))
-        self._waiting.clear()
+        self._pending_calls.clear()
 
     async def call(self, message: AnyMessage, timeout: float) -> AnyMessage:
         """Send a message and return its answer; raises PeerError."""
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         try:
             async with asyncio.timeout(timeout):
                 writer = self._writer or await self._connect()
                 waiter = asyncio.get_running_loop().create_future()
-                self._waiting[number] = waiter
+                self._pending_calls[number] = waiter
                 writer.send(Frame(number, False, message))
                 self._transport.traffic.frames_out += 1
                 return await waiter
         except TimeoutError as error:
             raise PeerTimeout(self._address) from error
         finally:
-            self._waiting.pop(number, None)
+            self._pending_calls.pop(number, None)
 
     def close(self) -> None:
-        """End the connection and fail the calls that wait on it."""
+        """Close the connection and fail its pending calls."""
         if self._reader_task is not None:
             self._reader_task.cancel()
-        self._break()
+        self._fail_pending_calls()
 
 
 class PeerTransport:
-    """A node's side of all its peer connections.
+    """All peer connections of a node, outgoing and incoming.
 
     Parameters
     ==========
 
     node : this node's name.
     incarnation : this process's incarnation.
-    local_address : (host, port 0) to call from, or None.
+    local_address : (host, 0) to which outgoing connections are bound, or None.
     server_tls : returns the TLS context for listening, or None for plain TCP.
     client_tls : returns the TLS context for calling, or None.
     """
@@ -201,7 +205,7 @@
         self.incarnation = incarnation
         self.local_address = local_address
         self.client_tls = client_tls
-        self.traffic = TrafficCount()
+        self.traffic = TrafficCounters()
         self._server_tls = server_tls
         self._handlers: dict[type, Handler] = {}
         self._connections: dict[str, OutgoingConnection] = {}
@@ -210,11 +214,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def handle(self, message_type: type[Message], handler: Handler) -> None:
-        """Have `handler` answer messages of this type."""
+        """Register `handler` for messages of this type, replacing an earlier one."""
         self._handlers[message_type] = handler
 
     async def listen(self, host: str, port: int) -> int:
-        """Start listening; return the port (chosen by the system if 0 was given)."""
+        """Start listening and return the port, which the operating system chooses if 0 is given."""
         self._server = await asyncio.start_server(
             self._serve_connection, host, port, ssl=self._server_tls()
         )
@@ -237,8 +241,8 @@
         Raises
         ======
 
-        PeerUnreachable : no connection, it broke, or the peer refused the call.
-        PeerTimeout : no answer within `timeout` seconds.
+        PeerUnreachable : the connection could not be opened or broke, or the peer refused the call.
+        PeerTimeout : no answer arrived within `timeout` seconds.
         """
         connection = self._connections.get(address)
         if connection is None:
@@ -250,9 +254,9 @@
         return answer
 
     async def call_for(
-        self, address: str, message: Message, answer_type: type[M], timeout: float
-    ) -> M:
-        """Like `call`, for a message that has one type of answer."""
+        self, address: str, message: Message, answer_type: type[AnswerType], timeout: float
+    ) -> AnswerType:
+        """Like `call`, but raise PeerUnreachable if the answer is not of type `answer_type`."""
         answer = await self.call(address, message, timeout)
         if not isinstance(answer, answer_type):
             raise PeerUnreachable(f"{address} answered with {type(answer).__name__}")
@@ -261,32 +265,34 @@
     async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        frames = FrameWriter(writer)
-        self._incoming.add(frames)
-        running = asyncio.Semaphore(MAX_CALLS_BEING_HANDLED)
+        frame_writer = FrameWriter(writer)
+        self._incoming.add(frame_writer)
+        running = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
-                first = await read_frame(reader)
-            if not isinstance(first.message, Hello):
-                raise FrameError("no hello")
+                hello = await read_frame(reader)
+            if not isinstance(hello.message, Hello):
+                raise FrameError("the first frame is not a Hello message")
             while True:
                 frame = await read_frame(reader)
                 await running.acquire()
-                task = asyncio.create_task(self._answer(first.message.node, frame, frames, running))
+                task = asyncio.create_task(
+                    self._handle_call(hello.message.node, frame, frame_writer, running)
+                )
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         except FrameError as error:
             log.warning("peer sent a bad frame", extra={"reason": str(error)})
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ssl.SSLError):
-            pass  # the peer ended the connection; it connects again with its next call
+            pass  # the peer closed the connection or sent no Hello in time; its next call reconnects
         except asyncio.CancelledError:
-            pass  # asyncio's server cancels these tasks at shutdown; nothing to undo
+            pass  # the asyncio server cancels its connection tasks at shutdown
         finally:
-            self._incoming.discard(frames)
-            self.traffic.bytes_out += frames.bytes_sent
-            frames.close()
+            self._incoming.discard(frame_writer)
+            self.traffic.closed_bytes_out += frame_writer.bytes_sent
+            frame_writer.close()
 
-    async def _answer(
+    async def _handle_call(
         self, peer: str, frame: Frame, writer: FrameWriter, running: asyncio.Semaphore
     ) -> None:
         try:
@@ -308,7 +314,7 @@
             self.traffic.frames_out += 1
 
     def current_bytes_out(self) -> int:
-        """Bytes sent so far, over closed and open connections."""
+        """Return the number of bytes sent so far on closed and open connections."""
         open_writers = [c._writer for c in self._connections.values() if c._writer is not None]
         live = sum(writer.bytes_sent for writer in [*open_writers, *self._incoming])
-        return self.traffic.bytes_out + live
+        return self.traffic.closed_bytes_out + live
