--- a/src/crankseam/peers/transport.py
+++ b/src/crankseam/peers/transport.py
@@ -1,4 +1,4 @@
-"""Calls between nodes: length-prefixed frames over one TCP connection from each caller to a peer.
+"""Calls between nodes: length-prefixed frames over one TCP connection from a node to each peer.
 
 Owns the connections, the numbers that match answers to calls, and the counters of sent bytes and
 frames. Relies on `messages` to encode frames and on the handlers that other modules register. A
@@ -284,7 +284,7 @@
         except FrameError as error:
             log.warning("peer sent a bad frame", extra={"reason": str(error)})
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ssl.SSLError):
-            pass  # the peer closed the connection or sent no Hello in time; its next call reconnects
+            pass  # the peer closed the connection or sent no Hello in time; it reconnects to call
         except asyncio.CancelledError:
             pass  # the asyncio server cancels its connection tasks at shutdown
         finally:
--- a/tests/records/test_small_worlds.py
+++ b/tests/records/test_small_worlds.py
@@ -157,7 +157,7 @@
         all_members = tuple(MEMBERS)
         return Program(self.name, tuple(remaining), epoch_round, phase, all_members, (), value)
 
-    def handle_answer(self, member: str, answer: object) -> tuple[Program, bytes | None]:
+    def after(self, member: str, answer: object) -> tuple[Program, bytes | None]:
         """Return the program after an answer, and the value returned to its caller, if any."""
         waiting = tuple(other for other in self.waiting if other != member)
         heard = (*self.heard, (member, *positive_answer(answer)))
@@ -256,7 +256,7 @@
     for index, proposer in enumerate(state.programs):
         for member in proposer.waiting:
             held, answer = deliver(state.replicas[MEMBERS.index(member)], proposer.message())
-            after, returned = proposer.handle_answer(member, answer)
+            after, returned = proposer.after(member, answer)
             successor = with_program(with_replica(state, member, held), index, after, member)
             yield with_returned_value(successor, returned) if returned is not None else successor
         if proposer.phase == "read":
