--- a/src/crankseam/peers/transport.py
+++ b/src/crankseam/peers/transport.py
@@ -267,7 +267,7 @@
     ) -> None:
         frame_writer = FrameWriter(writer)
         self._incoming.add(frame_writer)
-        running = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        call_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await read_frame(reader)
@@ -275,9 +275,9 @@
                 raise FrameError("the first frame is not a Hello message")
             while True:
                 frame = await read_frame(reader)
-                await running.acquire()
+                await call_slots.acquire()
                 task = asyncio.create_task(
-                    self._handle_call(hello.message.node, frame, frame_writer, running)
+                    self._handle_call(hello.message.node, frame, frame_writer, call_slots)
                 )
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
@@ -293,7 +293,7 @@
             frame_writer.close()
 
     async def _handle_call(
-        self, peer: str, frame: Frame, writer: FrameWriter, running: asyncio.Semaphore
+        self, peer: str, frame: Frame, writer: FrameWriter, call_slots: asyncio.Semaphore
     ) -> None:
         try:
             handler = self._handlers.get(type(frame.message))
@@ -308,7 +308,7 @@
             log.exception("peer message failed", extra={"peer": peer})
             answer = Refusal(type(error).__name__)
         finally:
-            running.release()
+            call_slots.release()
         if answer is not None and frame.call:
             writer.send(Frame(frame.call, True, answer))
             self.traffic.frames_out += 1
@@ -316,5 +316,5 @@
     def current_bytes_out(self) -> int:
         """Return the number of bytes sent so far on closed and open connections."""
         open_writers = [c._writer for c in self._connections.values() if c._writer is not None]
-        live = sum(writer.bytes_sent for writer in [*open_writers, *self._incoming])
-        return self.traffic.closed_bytes_out + live
+        open_bytes = sum(writer.bytes_sent for writer in [*open_writers, *self._incoming])
+        return self.traffic.closed_bytes_out + open_bytes
--- a/src/crankseam/records/reconfigurer.py
+++ b/src/crankseam/records/reconfigurer.py
@@ -104,7 +104,7 @@
         # Only the old set may agree on the next one: a majority of a newer set could agree on a
         # second set for the same epoch.
         value = await self._proposer.change_in_set(
-            current, record, lambda standing: standing or encoded
+            current, record, lambda existing: existing or encoded
         )
         assert value is not None
         return msgspec.msgpack.decode(value, type=ReplicaSet)
@@ -179,8 +179,8 @@
     merged: dict[str, StoredRecord] = {}
     for state in states:
         for record in state.records:
-            standing = merged.get(record.key)
-            if standing is None or standing.accepted < record.accepted:
+            existing = merged.get(record.key)
+            if existing is None or existing.accepted < record.accepted:
                 merged[record.key] = record
     forgotten = max(state.forgotten for state in states)
     return without_next_set_registers(SlotState(list(merged.values()), forgotten))
--- a/src/crankseam/records/replica.py
+++ b/src/crankseam/records/replica.py
@@ -276,8 +276,8 @@
         """
         pending.forgotten = max(pending.forgotten, state.forgotten)
         for record in state.records:
-            standing = pending.registers.get(record.key)
-            if standing is not None and standing.promised >= record.accepted:
+            existing = pending.registers.get(record.key)
+            if existing is not None and existing.promised >= record.accepted:
                 continue
             # Promise the accepted ballot, so that lower ballots of the old epoch are rejected.
             pending.registers[record.key] = Register(
--- a/tests/records/test_fast_round_reads.py
+++ b/tests/records/test_fast_round_reads.py
@@ -55,7 +55,7 @@
         if number < len(orders) - 1:
             values_returned.append(await client.proposer.read(RECORD))
         else:
-            values_returned.append(await client.proposer.change(RECORD, lambda standing: standing))
+            values_returned.append(await client.proposer.change(RECORD, lambda current: current))
     await asyncio.sleep(1.0)  # let messages arrive that no operation waits for any more
     return values_returned
 
--- a/tests/records/test_record_machine.py
+++ b/tests/records/test_record_machine.py
@@ -115,14 +115,14 @@
     @rule(count=st.integers(1, 4), fast=st.booleans())
     def write_at_once(self, count, fast):
         async def operation():
-            jobs = []
+            writes = []
             for _ in range(count):
                 client = self.random.choice(self.clients)
                 record = self.random.choice(RECORDS)
-                jobs.append(
+                writes.append(
                     self._create(client, record) if fast else self._append_entry(client, record)
                 )
-            await asyncio.gather(*jobs)
+            await asyncio.gather(*writes)
 
         self._run(operation())
 
--- a/tests/records/test_small_worlds.py
+++ b/tests/records/test_small_worlds.py
@@ -157,7 +157,7 @@
         all_members = tuple(MEMBERS)
         return Program(self.name, tuple(remaining), epoch_round, phase, all_members, (), value)
 
-    def after(self, member: str, answer: object) -> tuple[Program, bytes | None]:
+    def handle_answer(self, member: str, answer: object) -> tuple[Program, bytes | None]:
         """Return the program after an answer, and the value returned to its caller, if any."""
         waiting = tuple(other for other in self.waiting if other != member)
         heard = (*self.heard, (member, *positive_answer(answer)))
@@ -251,12 +251,12 @@
     return replace(state, programs=programs, late=state.late | abandoned)
 
 
-def steps(state: SystemState) -> Iterator[SystemState]:
+def successors(state: SystemState) -> Iterator[SystemState]:
     """Yield each state that can follow by one event."""
     for index, proposer in enumerate(state.programs):
         for member in proposer.waiting:
             held, answer = deliver(state.replicas[MEMBERS.index(member)], proposer.message())
-            after, returned = proposer.after(member, answer)
+            after, returned = proposer.handle_answer(member, answer)
             successor = with_program(with_replica(state, member, held), index, after, member)
             yield with_returned_value(successor, returned) if returned is not None else successor
         if proposer.phase == "read":
@@ -307,7 +307,7 @@
     visited = {state}
     frontier = [state]
     while frontier:
-        for successor in steps(frontier.pop()):
+        for successor in successors(frontier.pop()):
             if successor not in visited:
                 visited.add(successor)
                 frontier.append(successor)
--- a/tests/records/test_two_movers.py
+++ b/tests/records/test_two_movers.py
@@ -55,7 +55,7 @@
     )
     moved = await writer.reconfigurer.move(first_set, ["b@1", "d@1", "e@1"])
     new_client = cluster.client("young@1", moved)
-    assert await new_client.proposer.change(RECORD, lambda standing: standing + b",w") == b"v,w"
+    assert await new_client.proposer.change(RECORD, lambda current: current + b",w") == b"v,w"
 
     cluster.lose_request = lambda caller, target, message: (
         lose_messages(ReadRecord, *moved.members)(caller, target, message)
@@ -94,7 +94,7 @@
         isinstance(message, Seal | Install) and target == "b@1"
     )
     moved = await mover.reconfigurer.move(first_set, ["b@1", "d@1", "e@1"])
-    await mover.proposer.change(RECORD, lambda standing: standing + b",w")
+    await mover.proposer.change(RECORD, lambda current: current + b",w")
 
     cluster.lose_request = lambda *_args: False
     cluster.stores["b@1"].end_epoch(moved)
