--- a/src/crankseam/peers/__init__.py
+++ b/src/crankseam/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Frames and connections between nodes."""
+"""Messages, frames and connections between nodes."""
--- a/src/crankseam/peers/messages.py
+++ b/src/crankseam/peers/messages.py
@@ -1,8 +1,9 @@
-"""All messages between nodes, as tagged msgspec structs encoded to MessagePack arrays.
+"""All messages between nodes, as tagged msgspec structs encoded as MessagePack arrays.
 
-Owns the bytes between nodes: a message's tag (its class name, where none is given) and the order of
-its fields are on the wire, and nodes of two builds talk to each other while one replaces the other.
-Members, reports and replica sets are stored and passed on in the same form.
+Owns the wire format between nodes. The tag of a message (its class name unless another tag is
+given) and the order of its fields are part of that format, and nodes of two builds must understand
+each other during a rolling upgrade. Members, reports and replica sets are stored and forwarded in
+the same format.
 """
 
 from __future__ import annotations
@@ -11,11 +12,14 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True):
-    """Base of all messages; the tag is the class name."""
+    """Base class of all messages; the tag is the class name unless a subclass gives another."""
 
 
 class Ballot(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """Order of proposals: a round, then the proposer's identity. Round 0 is the fast round."""
+    """Number of a proposal, ordered by round and then by the proposer's identity.
+
+    Round 0 is the fast round.
+    """
 
     round: int = 0
     proposer: str = ""
@@ -28,39 +32,42 @@
 
 
 class Hello(Message, tag="h"):
-    """First message on a connection: who calls."""
+    """First message on a connection: the node that opened it and its incarnation."""
 
     node: str
     incarnation: int
 
 
 class Refusal(Message, tag="e"):
-    """The peer could not answer the call; `reason` is the error's type name."""
+    """The peer could not answer the call; `reason` is the type name of the error."""
 
     reason: str
 
 
 class Done(Message, tag="d"):
-    """The call was carried out; there is nothing to return."""
+    """The call was carried out and has no result."""
 
 
 # --- replicated records
 
 
 class ReplicaSet(msgspec.Struct, array_like=True, frozen=True):
-    """The replicas of one slot. Members are `node@incarnation`."""
+    """The replicas of one slot in one epoch. Members are identities `node@incarnation`."""
 
     slot: int
     epoch: int
     members: list[str]
     floor: int = 0
-    """Record ids dated at or before this (milliseconds) are refused: their records may be lost."""
+    """Record ids of this date (milliseconds) or older are refused: their records may be lost."""
     founded: bool = False
-    """Agreed through the key-value service, with no state to carry over from an earlier set."""
+    """Whether the set was agreed through the key-value service and takes over no earlier state."""
 
 
 class Prepare(Message, tag="p"):
-    """Phase one: promise to refuse lower ballots, and tell what was accepted."""
+    """Phase one: asks to promise the ballot, and for the accepted value.
+
+    A replica that promises a ballot refuses lower ones.
+    """
 
     slot: int
     epoch: int
@@ -70,14 +77,20 @@
 
 
 class Promise(Message, tag="P"):
-    """The ballot is promised; `value` is what was accepted at `accepted`, None if nothing."""
+    """The ballot is promised; `value` was accepted at ballot `accepted`.
+
+    Both are None if no value was accepted. Also the answer to `ReadRecord`, which promises nothing.
+    """
 
     accepted: Ballot | None
     value: bytes | None
 
 
 class Accept(Message, tag="a"):
-    """Phase two: accept the value. A fast ballot asks for acceptance only where nothing stands."""
+    """Phase two: asks to accept the value.
+
+    At the fast ballot, a replica accepts only if the register is unused.
+    """
 
     slot: int
     epoch: int
@@ -93,7 +106,7 @@
 
 
 class ReadRecord(Message, tag="r"):
-    """Ask for what is accepted, promising nothing."""
+    """Asks for the accepted ballot and value of a record without a promise."""
 
     slot: int
     epoch: int
@@ -101,33 +114,39 @@
 
 
 class Rejected(Message, tag="R"):
-    """A higher ballot was promised, or (fast) something stands already."""
+    """The replica has promised a higher ballot, or the register is in use (fast round)."""
 
     promised: Ballot
 
 
 class StaleEpoch(Message, tag="s"):
-    """The slot has moved on; `replica_set` is the newest this replica knows."""
+    """The replica does not serve the epoch asked for.
+
+    `replica_set` is the newest set that the replica knows for the slot; None if it knows none.
+    """
 
     replica_set: ReplicaSet | None
 
 
 class Expired(Message, tag="x"):
-    """The record's id is older than what this replica remembers."""
+    """The record's id is so old that this replica may already have dropped the record."""
 
 
 class Seal(Message, tag="S"):
-    """End an epoch: refuse its operations from now on and return a page of the slot's state."""
+    """Ends an epoch on a replica and asks for a page of the slot's state.
+
+    The replica refuses all later operations of the epoch.
+    """
 
     slot: int
     epoch: int
     next_set: ReplicaSet
     after: str = ""
-    """Key after which the page begins."""
+    """The page contains keys above this one."""
 
 
 class StoredRecord(msgspec.Struct, array_like=True):
-    """One register as a replica holds it."""
+    """The accepted state of one register, as transferred between replicas."""
 
     key: str
     dated: int
@@ -136,16 +155,22 @@
 
 
 class SlotState(Message, tag="T"):
-    """Registers of a slot in order of key, and the newest date that was dropped."""
+    """A page of a slot's registers in the order of their keys.
+
+    `forgotten` is the date of the newest dropped record.
+    """
 
     records: list[StoredRecord]
     forgotten: int
     is_last: bool = True
-    """False: more pages follow after the last key."""
+    """Whether this is the last page; if not, the next one starts after the last key."""
 
 
 class Install(Message, tag="I"):
-    """Start an epoch on a new member with the merged state of the old one, page by page."""
+    """A page of the merged state of the old epoch for a member of the new set.
+
+    The last page starts the new epoch on that member.
+    """
 
     replica_set: ReplicaSet
     state: SlotState
@@ -155,7 +180,7 @@
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of one node."""
+    """Membership information about one node."""
 
     name: str
     region: str
@@ -167,21 +192,21 @@
     status: int = 0
     """A `MemberStatus` value."""
     revision: int = 0
-    """Configuration revision the node serves under."""
+    """Revision of the configuration that the node applies."""
     caches_weights: bool = False
-    """Whether the node has a data folder and serves weights from it."""
+    """Whether the node has a data folder and serves cached weights from it."""
 
     @property
     def identity(self) -> str:
-        """`name@incarnation`: one run of one process."""
+        """`name@incarnation`, which identifies one run of the node's process."""
         return f"{self.name}@{self.incarnation}"
 
 
 class BackEndReport(msgspec.Struct, array_like=True, frozen=True):
-    """A watcher's observation of one back end."""
+    """Observation of one back end by the node that watches it."""
 
     target: str
-    """`Service or pool name/back end name`."""
+    """`<service or pool name>/<back end name>`."""
     watcher: str
     sequence: int
     alive: bool
@@ -189,43 +214,43 @@
     running: int
     waiting: int
     version: int
-    """Weight version served; -1 for app servers."""
+    """Weight version that the back end serves; -1 for app servers."""
     zone: str = ""
     set_aside: str = ""
-    """Why the weight coordinator took it out of routing; empty if it did not."""
+    """Reason why the weight coordinator took the back end out of routing; empty if it did not."""
 
 
 class Entries(msgspec.Struct, array_like=True):
-    """A part of the digest: what changed since a version of the sender's table."""
+    """Entries of the sender's digest that changed since a version of its table."""
 
     version: int = 0
     members: list[Member] = []
     back_ends: list[BackEndReport] = []
     replica_sets: list[ReplicaSet] = []
     pulses: dict[str, int] = {}
-    """By zone, a number that the zone's first relay raises at each heartbeat."""
+    """Counter of each zone, which the zone's first relay increments at each heartbeat."""
 
 
 class ConfigurationReading(msgspec.Struct, array_like=True, frozen=True):
-    """The configuration register as a majority held it `age` seconds ago."""
+    """Configuration revision that a majority of replicas held `age` seconds ago."""
 
     revision: int = 0
     age: float = float("inf")
 
 
 class Heartbeat(Message, tag="hb"):
-    """From a node to a relay of its zone: itself, what it observed, and what it has."""
+    """From a node to a relay of its zone: its own state, its observations and its replica sets."""
 
     member: Member
     back_ends: list[BackEndReport]
     replica_sets: list[ReplicaSet]
     relay_incarnation: int
     known_version: int
-    """Version of the relay's table that the node has; -1 asks for no entries."""
+    """Version of the relay's table that the node already has; -1 asks for no entries."""
 
 
 class HeartbeatAnswer(Message, tag="HB"):
-    """From the relay: what changed, and the newest reading of the configuration register."""
+    """From the relay: changed entries and the newest reading of the configuration register."""
 
     relay_incarnation: int
     entries: Entries
@@ -233,30 +258,33 @@
 
 
 class Exchange(Message, tag="x1"):
-    """Between relays: send what changed in your zone since `known_version`."""
+    """Between relays: asks for the entries of the peer's zone changed since `known_version`."""
 
     member: Member
     relay_incarnation: int
     known_version: int
     known_zones: int = 0
-    """Zones that the sender knows; a peer that knows more adds their relays to its answer."""
+    """Number of zones that the sender knows; a peer that knows more adds their relays."""
 
 
 class ExchangeAnswer(Message, tag="X1"):
-    """Entries of the answering relay's own zone."""
+    """Changed entries of the answering relay's zone."""
 
     relay_incarnation: int
     entries: Entries
     heard: dict[str, int] = {}
-    """Milliseconds since the relay itself heard each member (only to relays of its own zone)."""
+    """Milliseconds since the relay itself last heard from each member.
+
+    Filled only in answers to relays of the same zone.
+    """
 
 
 class Nudge(Message, tag="n"):
-    """Something urgent changed; do not wait for the next heartbeat.
+    """Urgent changes, sent without waiting for the next heartbeat.
 
     Attributes:
-        revision: newest revision in the configuration register, 0 if that is not the news.
-        entries: the news itself: deaths, and back ends that are leaving.
+        revision: newest revision in the configuration register; 0 if it did not change.
+        entries: the urgent entries: dead members, and back ends that are leaving.
     """
 
     revision: int = 0
@@ -264,13 +292,13 @@
 
 
 class FetchSnapshot(Message, tag="fs"):
-    """Ask for the stored snapshot of at least this revision."""
+    """Asks for a stored configuration snapshot of this revision or a newer one."""
 
     revision: int
 
 
 class SnapshotAnswer(Message, tag="FS"):
-    """An encoded StoredSnapshot, or None when the peer lacks it."""
+    """An encoded `StoredSnapshot`, or None if the peer has none that is new enough."""
 
     content: bytes | None
 
@@ -279,7 +307,7 @@
 
 
 class RunCompletion(Message, tag="rc"):
-    """Read one completion from a sampler to its end, for the node that drives the step."""
+    """Asks to read a completion from a sampler to its end, for the node that drives the step."""
 
     address: str
     request_id: str
@@ -290,11 +318,11 @@
 
 
 class CompletionOutcome(Message, tag="RC"):
-    """What came of a stream: whole, broken off after some tokens, or refused."""
+    """Result of a stream: finished, interrupted after some tokens, or refused."""
 
     tokens: list[int]
     segments: list[tuple[int, int, int]]
-    """(version, start, end) over [0, len(tokens))."""
+    """(weight version, start, end) of each range of tokens; the ranges cover all tokens."""
     finished: bool = False
     cut_by_bound: bool = False
     refused: bool = False
@@ -302,7 +330,7 @@
 
 
 class CancelCompletion(Message, tag="cc"):
-    """The caller no longer wants a completion it asked for."""
+    """Asks to cancel a completion that the same caller requested."""
 
     request_id: str
 
@@ -311,25 +339,25 @@
 
 
 class TellSuspects(Message, tag="ts"):
-    """News of requests under which back ends ended: an encoded `SuspectNews`."""
+    """An encoded `SuspectNews` about requests during which back ends ended."""
 
     news: bytes
 
 
 class StoreDecisions(Message, tag="sd"):
-    """Keep these encoded decisions, so that they outlive their maker."""
+    """Asks to store these encoded decisions, so that they survive the node that made them."""
 
     decisions: list[tuple[str, bytes]]
 
 
 class FetchDecision(Message, tag="fd"):
-    """Ask for a decision by its id or by the request it belongs to."""
+    """Asks for a decision by its id or by the request it belongs to."""
 
     decision_id: str
 
 
 class DecisionAnswer(Message, tag="FD"):
-    """The encoded decisions found."""
+    """The encoded decisions that were found; empty if none was."""
 
     decisions: list[bytes]
 
@@ -367,7 +395,7 @@
 
 
 class Frame(msgspec.Struct, array_like=True):
-    """A message with the number of the call it belongs to; answers carry the call's number."""
+    """A message with the number of its call; an answer has the number of the call it answers."""
 
     call: int
     is_answer: bool
@@ -379,11 +407,11 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Bytes of a frame, with its length in four bytes in front."""
+    """Encode a frame, preceded by its length as a four-byte big-endian number."""
     body = _encoder.encode(frame)
     return len(body).to_bytes(4, "big") + body
 
 
 def decode_frame(body: bytes) -> Frame:
-    """The frame in `body` (without the length). Raises msgspec.DecodeError."""
+    """Decode a frame from `body`, without the length; raises msgspec.DecodeError."""
     return _decoder.decode(body)
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -1,4 +1,4 @@
-"""Frames and connections between nodes."""
+"""Encoding of frames, calls over connections, and handling of invalid bytes from a peer."""
 
 import asyncio
 import struct
