--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -115,7 +115,7 @@
         self._random = random.Random(identity)
         self._background_calls: set[asyncio.Task] = set()
 
-    # --- public
+    # --- operations on records
 
     async def create(self, record: RecordKey, value: bytes) -> OwnedBallot | None:
         """Try to create a record in one round trip.
@@ -271,7 +271,7 @@
             raise Contention(record.key)
         raise NoQuorum(f"{len(matching)} of {len(replica_set.members)} for {record.key}")
 
-    # --- asking
+    # --- calls to replicas
 
     def _require_set(self, record: RecordKey) -> ReplicaSet:
         replica_set = self._slots.get(record.slot)
--- a/src/crankseam/records/replica.py
+++ b/src/crankseam/records/replica.py
@@ -116,13 +116,12 @@
     def _start_epoch(self, slot: Slot) -> None:
         self.slots[slot.replica_set.slot] = slot
         # Remember the epoch even after the slot is dropped: if this replica started the same epoch
-        # again, it would have lost the promises and values that it voted for.
+        # again, it would serve without the promises and values of its earlier votes.
         self._highest_epochs[slot.replica_set.slot] = slot.replica_set.epoch
         for number, epoch in list(self._pending_installs):
             if number == slot.replica_set.slot and epoch <= slot.replica_set.epoch:
-                del self._pending_installs[
-                    number, epoch
-                ]  # left by a node that failed during its move
+                # Left by a node that failed during its move, or completed by this installation.
+                del self._pending_installs[number, epoch]
 
     def _find_slot(self, slot_number: int, epoch: int) -> Slot | StaleEpoch:
         slot = self.slots.get(slot_number)
@@ -182,8 +181,8 @@
     def _accept_fast(register: Register, message: Accept) -> AnyMessage:
         # Only an unused register accepts a value in the fast round. It promises round 1 to the
         # owner at the same time, so that the owner's next write needs no phase one.
-        untouched = register.accepted is None and register.promised == FAST_BALLOT
-        if not untouched:
+        unused = register.accepted is None and register.promised == FAST_BALLOT
+        if not unused:
             return Rejected(register.promised)
         register.accepted = FAST_BALLOT
         register.value = message.value
