--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -175,10 +175,10 @@
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Forward under a claim, or answer from the record that stands."""
         if not context.must_not_repeat:
-            return await following(context)
+            return await call_next(context)
         try:
             claim = await self._claims.claim(context)
         except RecordExpired:
@@ -189,7 +189,7 @@
             raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_S)
         if isinstance(claim, RequestRecord):
             return self._answer_from(claim, context)
-        return await self._forward(claim, context, following)
+        return await self._forward(claim, context, call_next)
 
     def _answer_from(self, record: RequestRecord, context: RequestContext) -> Answer:
         if record.body_digest != self._claims.digest(context):
@@ -201,9 +201,9 @@
         headers = {**record.headers, REPLAYED_HEADER: "true"}
         return Answer(record.status, headers, record.body)
 
-    async def _forward(self, claim: HeldClaim, context: RequestContext, following: Next) -> Answer:
+    async def _forward(self, claim: HeldClaim, context: RequestContext, call_next: Next) -> Answer:
         try:
-            answer = await following(context)
+            answer = await call_next(context)
         except Problem as problem:
             await self._settle_problem(claim, context, problem)
             raise
@@ -250,10 +250,10 @@
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Pass answers through; check each problem's outcome."""
         try:
-            return await following(context)
+            return await call_next(context)
         except Problem as problem:
             await self._check_outcome(context, problem)
             raise
@@ -264,7 +264,7 @@
         if not must_be_agreed(context, problem.outcome):
             return
         # In another region its record is out of reach: an earlier attempt may have run at home.
-        if context.is_foreign or not await self._is_agreed(context):
+        if context.has_remote_home or not await self._is_agreed(context):
             problem.outcome = OUTCOME_UNKNOWN
 
     async def _is_agreed(self, context: RequestContext) -> bool:
--- a/src/crankseam/requests/context.py
+++ b/src/crankseam/requests/context.py
@@ -1,7 +1,8 @@
-"""What the filters of the chain know of one request, and the answer they make.
+"""The state that the request filters share, the answer that they return, and the filter chain.
 
-Owns the order of the chain: each filter calls the one after it. A context belongs to one handling
-of one request and is dropped with its answer. Times are seconds of the clock of promises.
+The chain is nested: each filter calls the next one. One `RequestContext` exists for each handling
+of a request and is discarded once the answer was sent. Times are seconds of `clocks.promised_s`,
+which also advances while the machine is suspended.
 """
 
 from __future__ import annotations
@@ -21,7 +22,11 @@
 
 @dataclass
 class Answer:
-    """A whole answer, or (body None) one that was already streamed through `response`."""
+    """A buffered answer, or one that was already streamed to the caller.
+
+    Attributes:
+        body: the whole body; None if it was streamed through `response`.
+    """
 
     status: int
     headers: dict[str, str]
@@ -31,11 +36,11 @@
 
 @dataclass
 class RequestContext:
-    """One request on its way through the chain.
+    """The state of one request in the filter chain.
 
     Attributes:
-        deadline: time of promises at which the caller stops waiting.
-        dispatched: whether any byte may have reached a back end.
+        deadline: time (`clocks.promised_s`) at which the caller stops waiting.
+        dispatched: whether any byte of the request may have reached a back end.
     """
 
     http: web.Request
@@ -51,24 +56,24 @@
     service: Service | None = None
     must_not_repeat: bool = False
     claim_token: str = field(default_factory=lambda: secrets.token_hex(8))
-    """Tells this handling of the request from any other, also of the same attempt."""
-    is_foreign: bool = False
-    """Whether the service's home, and so the request's record, is in another region."""
+    """Distinguishes this handling of the request from all others, even of the same attempt."""
+    has_remote_home: bool = False
+    """Whether the service's home region, which holds the request's record, is another region."""
     dispatched: bool = False
     answer_started: bool = False
-    """Whether a part of the answer has been passed on to the caller."""
+    """Whether a part of the answer has been sent to the caller."""
     decision: Decision | None = None
 
     def remaining(self) -> float:
-        """Seconds the caller still waits."""
+        """Return the seconds until the caller's deadline."""
         return self.deadline - clocks.promised_s()
 
     def outcome_so_far(self) -> str:
-        """What may be said of the request now: `not_run` until a byte may have left."""
+        """Return the outcome to report at this point: `not_run` until a byte may have been sent."""
         return OUTCOME_UNKNOWN if self.dispatched else OUTCOME_NOT_RUN
 
     def require_service(self) -> Service:
-        """The service, known once the configuration filter has run."""
+        """Return the service; valid only after `ConfigurationFilter` has set it."""
         assert self.service is not None
         return self.service
 
@@ -78,15 +83,15 @@
 
 
 def build_chain(filters: list[Filter], last: Next) -> Next:
-    """Join filters so that each calls the one after it."""
+    """Compose the filters into one handler; each filter calls the next, the last calls `last`."""
     chain = last
     for item in reversed(filters):
         chain = _bind(item, chain)
     return chain
 
 
-def _bind(item: Filter, following: Next) -> Next:
+def _bind(item: Filter, call_next: Next) -> Next:
     async def step(context: RequestContext) -> Answer:
-        return await item(context, following)
+        return await item(context, call_next)
 
     return step
--- a/src/crankseam/requests/home_region.py
+++ b/src/crankseam/requests/home_region.py
@@ -44,12 +44,12 @@
         self._session = session
         self._random = random.Random(f"home {agent.identity}")
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Pass on, unless this is the home region or the request came from another region."""
         home = context.require_service().home_region
         if home == self._agent.settings.region:
-            return await following(context)
-        context.is_foreign = True
+            return await call_next(context)
+        context.has_remote_home = True
         if FORWARDED_HEADER in context.http.headers:
             detail = f"this node is not in {home}, and the request was passed on once already"
             raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.OTHER_REGION_S)
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -38,7 +38,7 @@
     def __init__(self, retention_s: float) -> None:
         self._retention_ms = retention_s * 1000
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Fill in the ids; refuse malformed ones."""
         headers = context.http.headers
         context.request_id = headers.get(REQUEST_ID_HEADER) or str(uuid.uuid4())
@@ -51,7 +51,7 @@
         context.body = await context.http.read()
         if len(context.body) > MAX_REQUEST_BODY_BYTES:
             raise BadRequest("the body is too large", OUTCOME_NOT_RUN)
-        return await following(context)
+        return await call_next(context)
 
     def _check_key(self, key: str) -> int:
         try:
@@ -70,7 +70,7 @@
 class DeadlineFilter:
     """Takes the caller's deadline; the service's own may shorten it later."""
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Set the deadline, counted from the request's arrival."""
         raw = context.http.headers.get(DEADLINE_HEADER)
         allowed_s = DEFAULT_DEADLINE_S
@@ -79,7 +79,7 @@
                 raise BadRequest(f"{DEADLINE_HEADER}: whole milliseconds", OUTCOME_NOT_RUN)
             allowed_s = int(raw) / 1000
         context.deadline = context.arrived + allowed_s
-        return await following(context)
+        return await call_next(context)
 
 
 class ConfigurationFilter:
@@ -88,7 +88,7 @@
     def __init__(self, lease: ConfigurationLease) -> None:
         self._lease = lease
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Look up the service; refuse new work when the lease has run out."""
         context.snapshot = self._lease.snapshot
         service = context.snapshot.services.get(context.service_name)
@@ -108,4 +108,4 @@
         if clocks.promised_s() >= context.deadline:
             detail = "the deadline has passed"
             raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.PAST_DEADLINE_S)
-        return await following(context)
+        return await call_next(context)
--- a/src/crankseam/requests/limits.py
+++ b/src/crankseam/requests/limits.py
@@ -24,17 +24,17 @@
     def __init__(self, shares: LimitShareController) -> None:
         self._shares = shares
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Hold one unit of this node's share while the request runs."""
         assert context.snapshot is not None
         limit = context.snapshot.limit_for(context.service_name)
         if limit is None:
-            return await following(context)
+            return await call_next(context)
         if not await self._shares.acquire(limit):
             detail = f"limit {limit.name} of {limit.max_in_flight} is in use"
             raise Overloaded(detail, OUTCOME_NOT_RUN, retry_after.OVERLOADED_S)
         try:
-            return await following(context)
+            return await call_next(context)
         finally:
             self._shares.share_of(limit).release()
 
@@ -47,7 +47,7 @@
         self.running = 0
         self.draining = False
 
-    async def __call__(self, context: RequestContext, following: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
         """Count the request; refuse it at once where there is no room."""
         if self.draining:
             raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
@@ -56,6 +56,6 @@
             raise Overloaded(detail, OUTCOME_NOT_RUN, retry_after.OVERLOADED_S)
         self.running += 1
         try:
-            return await following(context)
+            return await call_next(context)
         finally:
             self.running -= 1
