--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -34,7 +34,11 @@
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.trial import Send, Trial
 from crankseam.requests import retry_after
-from crankseam.requests.attempts import has_time, may_follow_lost_answer, new_retry_budget
+from crankseam.requests.attempts import (
+    has_time_to_forward,
+    may_retry_after_lost_answer,
+    new_retry_budget,
+)
 from crankseam.requests.context import Answer, RequestContext
 from crankseam.requests.headers import end_to_end_headers
 from crankseam.routing import Choice, Router
@@ -111,7 +115,7 @@
             except _NotSent:
                 tried.add(choice.back_end.name)
             except OutcomeUnknown:
-                if not may_follow_lost_answer(context, trial):
+                if not may_retry_after_lost_answer(context, trial):
                     raise
                 tried.add(choice.back_end.name)
             if not self._budget.try_spend():
@@ -149,7 +153,7 @@
             outcome = context.outcome_so_far()
             raise Unavailable("this node was cut off or stopped", outcome, retry_after.STALE_VIEW_S)
         remaining = context.remaining()
-        if not has_time(remaining):
+        if not has_time_to_forward(remaining):
             outcome = context.outcome_so_far()
             detail = "the deadline passed before it was forwarded"
             raise DeadlineExceeded(detail, outcome, retry_after.PAST_DEADLINE_S)
