--- a/src/crankseam/requests/limits.py
+++ b/src/crankseam/requests/limits.py
@@ -1,12 +1,14 @@
-"""Does a request get in: the service's shared limit, and this node's own bound at a time.
-
-Inputs: requests under way on this node (counted here, exact), and this node's share of the limit
-(`controllers/limit_shares`, as old as one renewal).
-Rule: a node takes `max_requests` at a time and none while it stops; of a limited service it takes
-no more than its share holds. What does not get in is refused at once and never queued.
-Protects: this process's memory, the service's back ends, and a planned stop from new work.
-Shown by: problems `overloaded` and `unavailable`, `requests_running`. Held by:
-tests/requests/test_app_requests.py, tests/test_node_machine.py.
+"""Admission control: the concurrency limit of this node and the shared limits of services.
+
+Inputs: the number of requests in progress on this node (counted here, exact), and this node's share
+of the service's limit (`controllers/limit_shares`, at most one renewal old).
+Rule: a node runs at most `max_requests` requests at a time and admits none while it stops. For a
+service with a limit, it admits no more requests than its share allows. A request that is not
+admitted is refused at once and never queued.
+Purpose: bounds the memory of this process and the load on the service's back ends, and keeps new
+work away from a node that is stopping.
+Logged as: the problems `overloaded` and `unavailable`, and the metric `requests_running`.
+Tested by: tests/requests/test_app_requests.py, tests/test_node_machine.py.
 """
 
 from __future__ import annotations
@@ -19,13 +21,13 @@
 
 
 class ServiceLimitFilter:
-    """Counts the request against the service's limit, if it has one."""
+    """Counts each request against the shared limit of its service, if there is one."""
 
     def __init__(self, shares: LimitShareController) -> None:
         self._shares = shares
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Hold one unit of this node's share while the request runs."""
+        """Hold one unit of this node's share of the limit while the request runs."""
         assert context.snapshot is not None
         limit = context.snapshot.limit_for(context.service_name)
         if limit is None:
@@ -40,7 +42,7 @@
 
 
 class AdmissionFilter:
-    """Sheds load above what this node takes at a time, and all new work while it stops."""
+    """Refuses requests above `max_requests` at a time, and all requests while the node drains."""
 
     def __init__(self, max_requests: int) -> None:
         self._max_requests = max_requests
@@ -48,7 +50,7 @@
         self.draining = False
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Count the request; refuse it at once where there is no room."""
+        """Count the request while it runs; refuse it at once if the limit is reached."""
         if self.draining:
             raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
         if self.running >= self._max_requests:
