--- a/src/crankseam/requests/retry_after.py
+++ b/src/crankseam/requests/retry_after.py
@@ -1,29 +1,31 @@
-"""When is a caller told to come back?
+"""The `Retry-After` delay of a refused request.
 
-Inputs: why the request is not served now.
-Rule: one constant for each reason; the answer rounds it up to whole seconds (`problems`).
-Protects: this node from callers that come back at once, and callers from waiting longer than the
-cause lasts.
-Shown by: `Retry-After`. Held by: tests/requests/test_app_requests.py. All times are seconds. None
-was measured: 1 is the smallest value that the header can carry. Origin not recorded.
+Inputs: the reason why the request is not served now.
+Rule: each reason has one constant, in seconds; `problems` rounds it up to whole seconds for the
+header. Most are 1 s, the smallest value other than 0 that the header can carry.
+Purpose: keeps callers from retrying at once, and from waiting longer than the cause lasts.
+Logged as: the header `Retry-After`.
+Tested by: tests/requests/test_app_requests.py.
 """
 
 from __future__ import annotations
 
 UNCONFIRMED_S = 1.0
-"""This node holds no configuration lease; relays read the register five times a term of 2.5 s."""
+"""This node holds no configuration lease. Relays read the configuration register five times per
+lease term of 2.5 s."""
 STOPPING_S = 1.0
-"""This node is stopping; another one serves at once."""
+"""This node is stopping; another node can serve the request at once."""
 OVERLOADED_S = 1.0
-"""This node or the service's limit is full."""
+"""The concurrency limit of this node or of the service is reached."""
 NO_BACK_END_S = 1.0
-"""No back end is eligible, or the retry budget is spent; one that refused a connection is passed
-over for as long (`routing.CONNECTION_FAILURE_S`)."""
+"""No back end is eligible, or the retry budget is spent. Routing excludes a back end that refused a
+connection for the same time (`routing.CONNECTION_FAILURE_S`)."""
 STALE_VIEW_S = 1.0
-"""This process stood still; its next heartbeat, 1 s at most, renews its view."""
+"""This process was stalled, so its view of the cluster is stale until its next heartbeat, which
+follows within 1 s."""
 PAST_DEADLINE_S = 1.0
 """The caller's deadline passed before the request was forwarded."""
 RECORD_S = 1.0
-"""The request's record could not be agreed, or another handling holds the claim."""
+"""The replicas could not agree on the request's record, or another handling holds the claim."""
 OTHER_REGION_S = 2.0
-"""The service's home region cannot be reached from here."""
+"""The service's home region cannot be reached from this node."""
