--- a/src/crankseam/requests/headers.py
+++ b/src/crankseam/requests/headers.py
@@ -1,13 +1,10 @@
-"""Which headers of a request or answer go on to the next hop.
-
-Owns the list of those that do not; relies on nothing.
-"""
+"""Selects the headers of a request or answer that are forwarded to the next hop."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-encoding",
@@ -22,9 +19,11 @@
         "upgrade",
     }
 )
-"""Headers of one connection (RFC 9110), and those that the next hop sets by itself."""
+"""Hop-by-hop headers (RFC 9110), and headers that the next hop sets itself; not forwarded."""
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """The headers without those of one hop."""
-    return {name: value for name, value in headers.items() if name.lower() not in HOP_HEADERS}
+    """Return the headers without those in `HOP_BY_HOP_HEADERS`."""
+    return {
+        name: value for name, value in headers.items() if name.lower() not in HOP_BY_HOP_HEADERS
+    }
