--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -1,7 +1,7 @@
-"""First filters: who and what the request is, how long it may take, under which configuration.
+"""First filters of the chain: ids, deadline, and the configuration snapshot of a request.
 
-Owns the forms of the ids and the deadline header. Relies on the configuration lease for whether
-this node may take new work; the snapshot taken here holds for the whole request.
+Validates the ids and the deadline header. The configuration lease decides whether this node may
+accept new work. The snapshot taken here is used for the whole request.
 """
 
 from __future__ import annotations
@@ -23,23 +23,24 @@
 from crankseam.requests.context import Answer, Next, RequestContext
 
 MAX_ID_LENGTH = 200
-"""Characters of a request id, which stands in records and logs. Origin not recorded."""
-FUTURE_MARGIN_MS = 60_000
-"""Callers' clocks may run ahead by this much. Origin not recorded."""
+"""Maximum length of a request id in characters; records and logs contain the id."""
+MAX_FUTURE_SKEW_MS = 60_000
+"""How far the date of an idempotency key may lie in the future, to tolerate callers' clock skew."""
 MAX_DEADLINE_DIGITS = 9
-"""Digits of the deadline header: up to 11 days, and no number that could not be one."""
+"""Maximum number of digits in the deadline header: allows up to 11 days and rejects numbers that
+cannot be a deadline."""
 DEFAULT_DEADLINE_S = 10.0
-"""Of a request whose caller names none; the service's own may be shorter. Origin not recorded."""
+"""Deadline of a request without a deadline header; the service's own may be shorter."""
 
 
 class IdentifyFilter:
-    """Reads the ids and the body. Nothing is looked up yet."""
+    """Reads and validates the ids and the body, without any lookup."""
 
     def __init__(self, retention_s: float) -> None:
         self._retention_ms = retention_s * 1000
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Fill in the ids; refuse malformed ones."""
+        """Set the ids and the body of the context; refuse malformed ids and oversized bodies."""
         headers = context.http.headers
         context.request_id = headers.get(REQUEST_ID_HEADER) or str(uuid.uuid4())
         if len(context.request_id) > MAX_ID_LENGTH:
@@ -61,35 +62,35 @@
             raise BadRequest(detail, OUTCOME_NOT_RUN)
         age_ms = clocks.wall_ms() - dated
         if age_ms > self._retention_ms:
-            raise IdentifierExpired("the key is older than what is remembered")
-        if age_ms < -FUTURE_MARGIN_MS:
+            raise IdentifierExpired("the key is older than the time for which records are kept")
+        if age_ms < -MAX_FUTURE_SKEW_MS:
             raise BadRequest(f"{IDEMPOTENCY_HEADER} is dated in the future", OUTCOME_NOT_RUN)
         return dated
 
 
 class DeadlineFilter:
-    """Takes the caller's deadline; the service's own may shorten it later."""
+    """Sets the deadline from the caller's header; `ConfigurationFilter` may shorten it."""
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Set the deadline, counted from the request's arrival."""
-        raw = context.http.headers.get(DEADLINE_HEADER)
+        """Set the deadline, relative to the request's arrival."""
+        deadline_text = context.http.headers.get(DEADLINE_HEADER)
         allowed_s = DEFAULT_DEADLINE_S
-        if raw is not None:
-            if not raw.isdecimal() or len(raw) > MAX_DEADLINE_DIGITS:
-                raise BadRequest(f"{DEADLINE_HEADER}: whole milliseconds", OUTCOME_NOT_RUN)
-            allowed_s = int(raw) / 1000
+        if deadline_text is not None:
+            if not deadline_text.isdecimal() or len(deadline_text) > MAX_DEADLINE_DIGITS:
+                raise BadRequest(f"{DEADLINE_HEADER} must be whole milliseconds", OUTCOME_NOT_RUN)
+            allowed_s = int(deadline_text) / 1000
         context.deadline = context.arrived + allowed_s
         return await call_next(context)
 
 
 class ConfigurationFilter:
-    """Takes one snapshot for the whole request, and only under a held lease."""
+    """Takes one configuration snapshot for the whole request; requires a held lease."""
 
     def __init__(self, lease: ConfigurationLease) -> None:
         self._lease = lease
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Look up the service; refuse new work when the lease has run out."""
+        """Look up the service; refuse the request if the configuration lease has expired."""
         context.snapshot = self._lease.snapshot
         service = context.snapshot.services.get(context.service_name)
         context.service = service
