--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -27,13 +27,13 @@
 from crankseam.records.proposer import OwnedBallot, RecordKey
 from crankseam.requests import retry_after
 from crankseam.requests.claim_rules import (
-    claim_over,
-    end_over,
+    apply_claim,
+    apply_final_record,
+    apply_refusal,
+    is_attempt_refused,
     is_claimed_by,
-    is_refused,
-    must_be_agreed,
     problem_for,
-    refuse_over,
+    requires_agreement,
 )
 from crankseam.requests.context import Answer, Next, RequestContext
 from crankseam.requests.request_record import (
@@ -106,7 +106,7 @@
         if owned is not None:
             return HeldClaim(where, record, owned)
         value = await self._agent.proposer.change(
-            where, lambda standing: claim_over(standing, record)
+            where, lambda standing: apply_claim(standing, record)
         )
         assert value is not None
         agreed = decode_record(value)
@@ -142,7 +142,8 @@
         while True:
             try:
                 value = await self._agent.proposer.change(
-                    claim.where, lambda standing: end_over(standing, claim.record, encoded)
+                    claim.where,
+                    lambda standing: apply_final_record(standing, claim.record, encoded),
                 )
                 return value == encoded
             except RecordExpired:
@@ -163,7 +164,7 @@
         if await self._agent.proposer.create(where, encoded) is not None:
             return refusal
         value = await self._agent.proposer.change(
-            where, lambda standing: refuse_over(standing, refusal)
+            where, lambda standing: apply_refusal(standing, refusal)
         )
         assert value is not None
         return decode_record(value)
@@ -261,7 +262,7 @@
     async def _check_outcome(self, context: RequestContext, problem: Problem) -> None:
         if context.dispatched and problem.outcome == OUTCOME_NOT_RUN:
             problem.outcome = OUTCOME_UNKNOWN
-        if not must_be_agreed(context, problem.outcome):
+        if not requires_agreement(context, problem.outcome):
             return
         # In another region its record is out of reach: an earlier attempt may have run at home.
         if context.has_remote_home or not await self._is_agreed(context):
@@ -273,4 +274,4 @@
             agreed = await self._claims.refuse(context)
         except RecordError:
             return False  # nothing is known to be agreed, and the caller is told so
-        return is_refused(agreed, context.request_id)
+        return is_attempt_refused(agreed, context.request_id)
--- a/src/crankseam/requests/claim_rules.py
+++ b/src/crankseam/requests/claim_rules.py
@@ -1,13 +1,17 @@
-"""May this attempt of a request run, and what may its caller be told?
-
-Inputs: the request's record as a majority of its replicas agreed on it, and this handling's own
-claim or refusal.
-Rule: one handling at a time holds the claim and may forward the request once; a claim stands until
-its own holder ends it. `not_run` is told only after a majority agreed that the attempt was not
-forwarded and never will be; where that cannot be had, the caller is told `unknown`.
-Protects: a request that may not be repeated runs at most once, and "not run" is true.
-Shown by: the problem's `outcome`, `crankseam explain`. Held by: tests/requests/test_claim_rules.py,
-tests/requests/test_app_requests.py.
+"""State transitions of a request's record, and the outcome that its caller is told.
+
+A handling is the processing of one received request by one node. The same attempt may have several
+handlings, if its caller sends it more than once.
+
+Inputs: the request's record, as agreed by a majority of its replicas, and the claim or refusal of
+this handling.
+Rule: at most one handling at a time holds the claim, and it may forward the request once. Only the
+handling that holds the claim can end it. The caller is told `not_run` only after a majority has
+agreed that the attempt was not forwarded and never will be; without that agreement, the caller is
+told `unknown`.
+Purpose: a request that may not be repeated runs at most once, and the outcome `not_run` is true.
+Logged as: the problem's `outcome`, and the decisions in `crankseam explain`.
+Tested by: tests/requests/test_claim_rules.py, tests/requests/test_app_requests.py.
 """
 
 from __future__ import annotations
@@ -26,18 +30,24 @@
 )
 
 MAX_REFUSED_ATTEMPTS = 32
-"""Attempts that one record names as refused; the caller of a further one is told `unknown`. Bounds
-the record, which is copied at each change. Origin not recorded."""
+"""Maximum number of refused attempts in one record; the caller of a further one is told `unknown`.
+Bounds the size of the record, which is copied at each change."""
 
 
-def is_claimed_by(record: RequestRecord, handling: RequestRecord) -> bool:
-    """Whether the record is the claim of this handling of this attempt."""
-    is_own = record.claimant == handling.claimant and record.attempt == handling.attempt
-    return is_own and record.state == RequestState.CLAIMED
+def is_claimed_by(record: RequestRecord, own_record: RequestRecord) -> bool:
+    """Whether `record` is the claim of the handling and attempt that `own_record` names."""
+    is_same_handling = (
+        record.claimant == own_record.claimant and record.attempt == own_record.attempt
+    )
+    return is_same_handling and record.state == RequestState.CLAIMED
 
 
-def claim_over(standing: bytes | None, claim: RequestRecord) -> bytes | None:
-    """The claim, where nothing stands or only refused attempts; None leaves what stands."""
+def apply_claim(standing: bytes | None, claim: RequestRecord) -> bytes | None:
+    """Return the record after a claim, or None to leave the current record unchanged.
+
+    A claim succeeds if there is no record, or if the record has only refused attempts of the same
+    request and the claiming attempt is not among them.
+    """
     if standing is None:
         return encode_record(claim)
     record = decode_record(standing)
@@ -45,14 +55,15 @@
         return None
     if claim.attempt in record.refused_attempts:
         return None
-    renewed = msgspec.structs.replace(claim, refused_attempts=record.refused_attempts)
-    return encode_record(renewed)
+    updated = msgspec.structs.replace(claim, refused_attempts=record.refused_attempts)
+    return encode_record(updated)
 
 
-def refuse_over(standing: bytes | None, refusal: RequestRecord) -> bytes | None:
-    """Commit `not_run` for an attempt that this node did not forward.
+def apply_refusal(standing: bytes | None, refusal: RequestRecord) -> bytes | None:
+    """Return the record after the refusal of an attempt that this node did not forward.
 
-    A claim may only be withdrawn by the claimant's own attempt; what ran stays as it is.
+    Returns None to leave the current record unchanged. A claim can only be withdrawn by the
+    handling that holds it; a record of a request that may have run is never replaced.
     """
     if standing is None:
         return encode_record(refusal)
@@ -64,43 +75,47 @@
     if refusal.attempt not in refused:
         refused.append(refusal.attempt)
     if len(refused) > MAX_REFUSED_ATTEMPTS:
-        return None  # too many to remember; the caller is told `unknown`
+        return None  # the record is full; the caller is told `unknown`
     return encode_record(msgspec.structs.replace(refusal, refused_attempts=refused))
 
 
-def end_over(standing: bytes | None, claim: RequestRecord, final: bytes) -> bytes | None:
-    """How a claimed request ended, over this handling's own claim; None leaves what stands."""
+def apply_final_record(standing: bytes | None, claim: RequestRecord, final: bytes) -> bytes | None:
+    """Return `final` if it may replace the current record, or None to leave that unchanged.
+
+    The final state of a request replaces only the claim of its own handling. Writing it twice has
+    no effect.
+    """
     if standing is None or standing == final:
         return final
     return final if is_claimed_by(decode_record(standing), claim) else None
 
 
 def problem_for(record: RequestRecord) -> Problem | None:
-    """What to tell a caller whose request is in this state; None if its answer can be replayed."""
+    """Return the problem that describes the record; None if the stored answer can be replayed."""
     if record.state == RequestState.CLAIMED:
         detail = "an earlier attempt was claimed and has not ended"
         return StillRunning(detail, OUTCOME_UNKNOWN, retry_after.RECORD_S)
     if record.state == RequestState.UNKNOWN:
-        return OutcomeUnknown("it was forwarded and its answer was lost", OUTCOME_UNKNOWN)
+        return OutcomeUnknown("the request was forwarded and its answer was lost", OUTCOME_UNKNOWN)
     if record.state == RequestState.NOT_RUN:
         detail = "this attempt was not run; try again with a new Request-Id"
         return Unavailable(detail, OUTCOME_NOT_RUN, retry_after.RECORD_S)
     if record.body is None:
-        return OutcomeUnknown("it ran; its answer was too large to keep", OUTCOME_RUN)
+        return OutcomeUnknown("the request ran; its answer was too large to store", OUTCOME_RUN)
     return None
 
 
-def must_be_agreed(context: RequestContext, outcome: str) -> bool:
-    """Whether a majority must agree on `outcome` before the caller hears of it.
+def requires_agreement(context: RequestContext, outcome: str) -> bool:
+    """Whether a majority must agree on `outcome` before the caller is told.
 
-    Only `not_run` says something of the record. A request that may be repeated has none, nor has
-    one without a key.
+    Only `not_run` is a statement about the record. A request that may be repeated, or that has no
+    idempotency key, has no record.
     """
     is_repeatable = context.service is not None and not context.must_not_repeat
     has_record = not is_repeatable and context.idempotency_key is not None
     return outcome == OUTCOME_NOT_RUN and has_record
 
 
-def is_refused(agreed: RequestRecord, attempt: str) -> bool:
-    """Whether it is agreed that this attempt was not run and never will be."""
+def is_attempt_refused(agreed: RequestRecord, attempt: str) -> bool:
+    """Whether the agreed record states that the attempt was not run and never will be."""
     return agreed.state == RequestState.NOT_RUN and attempt in agreed.refused_attempts
--- a/tests/requests/test_claim_rules.py
+++ b/tests/requests/test_claim_rules.py
@@ -1,4 +1,4 @@
-"""Which record of a request may follow which, and what its caller is told."""
+"""Tests of the state transitions of a request's record, and of the outcomes told to callers."""
 
 import msgspec
 import pytest
@@ -6,11 +6,11 @@
 from crankseam.constants import OUTCOME_NOT_RUN, OUTCOME_RUN, OUTCOME_UNKNOWN
 from crankseam.requests.claim_rules import (
     MAX_REFUSED_ATTEMPTS,
-    claim_over,
-    end_over,
-    is_refused,
+    apply_claim,
+    apply_final_record,
+    apply_refusal,
+    is_attempt_refused,
     problem_for,
-    refuse_over,
 )
 from crankseam.requests.request_record import (
     RequestRecord,
@@ -32,15 +32,15 @@
     return record(RequestState.NOT_RUN, attempt, claimant, refused_attempts=[attempt])
 
 
-def over(rule, standing, new):
-    """The record that stands after the rule was applied."""
+def apply_rule(rule, standing, new):
+    """Return the record after `rule` was applied to `standing` with `new`."""
     before = None if standing is None else encode_record(standing)
     after = rule(before, new)
     return standing if after is None else decode_record(after)
 
 
 def test_a_claim_is_taken_where_nothing_stands():
-    assert over(claim_over, None, claim()) == claim()
+    assert apply_rule(apply_claim, None, claim()) == claim()
 
 
 @pytest.mark.parametrize(
@@ -48,49 +48,49 @@
 )
 def test_a_claim_never_replaces_what_may_have_run(state):
     standing = record(state, "first", "token-a")
-    assert over(claim_over, standing, claim("second", "token-b")) == standing
+    assert apply_rule(apply_claim, standing, claim("second", "token-b")) == standing
 
 
 def test_after_a_refusal_another_attempt_may_claim_and_the_refused_one_may_not():
-    taken = over(claim_over, refusal(), claim("second", "token-b"))
+    taken = apply_rule(apply_claim, refusal(), claim("second", "token-b"))
     assert (taken.state, taken.attempt) == (RequestState.CLAIMED, "second")
     assert taken.refused_attempts == ["first"]
-    assert over(claim_over, refusal(), claim("first", "token-b")) == refusal()
+    assert apply_rule(apply_claim, refusal(), claim("first", "token-b")) == refusal()
 
 
 def test_after_a_refusal_a_request_with_another_body_may_not_claim():
     other = msgspec.structs.replace(claim("second"), body_digest="other")
-    assert over(claim_over, refusal(), other) == refusal()
+    assert apply_rule(apply_claim, refusal(), other) == refusal()
 
 
 def test_a_claim_is_withdrawn_by_its_own_handling_alone():
-    assert over(refuse_over, claim(), refusal()).state == RequestState.NOT_RUN
-    assert over(refuse_over, claim(), refusal(claimant="token-b")) == claim()
-    assert over(refuse_over, claim(), refusal(attempt="second")) == claim()
+    assert apply_rule(apply_refusal, claim(), refusal()).state == RequestState.NOT_RUN
+    assert apply_rule(apply_refusal, claim(), refusal(claimant="token-b")) == claim()
+    assert apply_rule(apply_refusal, claim(), refusal(attempt="second")) == claim()
 
 
 @pytest.mark.parametrize("state", [RequestState.ANSWERED, RequestState.UNKNOWN])
 def test_what_was_forwarded_is_never_refused(state):
-    assert over(refuse_over, record(state), refusal()) == record(state)
+    assert apply_rule(apply_refusal, record(state), refusal()) == record(state)
 
 
 def test_a_record_that_names_as_many_refused_attempts_as_it_may_takes_no_further_one():
     names = [f"attempt-{number}" for number in range(MAX_REFUSED_ATTEMPTS)]
     full = record(RequestState.NOT_RUN, refused_attempts=names)
-    after = over(refuse_over, full, refusal("one-more"))
+    after = apply_rule(apply_refusal, full, refusal("one-more"))
     assert after == full
-    assert not is_refused(after, "one-more")
-    assert is_refused(over(refuse_over, full, refusal(names[0])), names[0])
+    assert not is_attempt_refused(after, "one-more")
+    assert is_attempt_refused(apply_rule(apply_refusal, full, refusal(names[0])), names[0])
 
 
 def test_an_end_is_written_over_its_own_claim_alone():
     final = record(RequestState.ANSWERED, status=200, body=b"done")
     encoded = encode_record(final)
-    assert end_over(None, claim(), encoded) == encoded
-    assert end_over(encode_record(claim()), claim(), encoded) == encoded
-    assert end_over(encoded, claim(), encoded) == encoded
+    assert apply_final_record(None, claim(), encoded) == encoded
+    assert apply_final_record(encode_record(claim()), claim(), encoded) == encoded
+    assert apply_final_record(encoded, claim(), encoded) == encoded
     for standing in (claim(claimant="token-b"), refusal(), record(RequestState.UNKNOWN)):
-        assert end_over(encode_record(standing), claim(), encoded) is None
+        assert apply_final_record(encode_record(standing), claim(), encoded) is None
 
 
 def test_what_a_caller_is_told_of_each_state():
