--- a/src/crankseam/requests/claim_rules.py
+++ b/src/crankseam/requests/claim_rules.py
@@ -82,8 +82,8 @@
 def apply_final_record(standing: bytes | None, claim: RequestRecord, final: bytes) -> bytes | None:
     """Return `final` if it may replace the current record, or None to leave that unchanged.
 
-    The final state of a request replaces only the claim of its own handling. Writing it twice has
-    no effect.
+    The final state of a request replaces the claim of its own handling, and is also written if
+    there is no record. It replaces no other record; writing it twice has no effect.
     """
     if standing is None or standing == final:
         return final
--- a/src/crankseam/requests/request_record.py
+++ b/src/crankseam/requests/request_record.py
@@ -1,6 +1,6 @@
-"""The replicated record of a request that may not be repeated, and its bytes.
+"""The replicated record of a request that may not be repeated, and its encoding.
 
-Owns the form in which it is stored; what may follow what is in `claim_rules`.
+The permitted state transitions are in `claim_rules`.
 """
 
 from __future__ import annotations
@@ -11,45 +11,45 @@
 
 
 class RequestState(enum.StrEnum):
-    """What is agreed about the request."""
+    """The state of the request, as agreed by a majority of the record's replicas."""
 
     CLAIMED = "claimed"
-    """One node may forward it, once."""
+    """One handling may forward the request, once."""
     NOT_RUN = "not_run"
-    """It was not forwarded, and the attempts named in the record never will be."""
+    """The request was not forwarded, and the refused attempts of the record never will be."""
     ANSWERED = "answered"
-    """It ran, and this is its answer."""
+    """The request ran, and the record contains its answer."""
     UNKNOWN = "unknown"
-    """It was forwarded, and its answer was lost."""
+    """The request was forwarded, and its answer was lost."""
 
 
 class RequestRecord(msgspec.Struct, array_like=True, omit_defaults=True):
-    """One request, by its idempotency key."""
+    """The record of one request, stored under its idempotency key."""
 
     state: RequestState
     attempt: str
-    """Request id of the attempt that the state is about."""
+    """Request id of the attempt to which the state applies."""
     claimant: str = ""
     """Token of the handling that holds the claim."""
     refused_attempts: list[str] = []
-    """Attempts that were told `not_run`; they may never claim again."""
+    """Attempts whose callers were told `not_run`; these can never claim the request."""
     status: int = 0
     headers: dict[str, str] = {}
     body: bytes | None = None
-    """None if the answer was too large to keep."""
+    """None if the answer was too large to store, or if there is no answer."""
     decision_id: str = ""
     body_digest: str = ""
-    """SHA-256 of the request's method, path and body: the same key with another body is refused."""
+    """Truncated SHA-256 of method, path and body; the same key with another body is refused."""
 
 
 _decoder = msgspec.msgpack.Decoder(RequestRecord)
 
 
 def encode_record(record: RequestRecord) -> bytes:
-    """Bytes for a replica."""
+    """Return the record in MessagePack, as the replicas store it."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_record(value: bytes) -> RequestRecord:
-    """The record behind a replica's bytes."""
+    """Return the record that `encode_record` encoded."""
     return _decoder.decode(value)
