--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -1,8 +1,8 @@
-"""At most once: claims a request that may not be repeated before it is forwarded.
+"""At-most-once execution: claims a request that may not be repeated before it is forwarded.
 
-Owns the reading and writing of a request's record around its forwarding, and the count of ends that
-are still being committed. Relies on `claim_rules` for what may be written over what and told to
-whom, and on the proposer for a majority's agreement.
+Reads and writes the request's record before and after forwarding, and counts the final states that
+are still being committed. The permitted transitions and the outcomes told to callers are in
+`claim_rules`; the proposer obtains the agreement of a majority of the replicas.
 """
 
 from __future__ import annotations
@@ -47,23 +47,27 @@
 
 REPLAYED_HEADER = "Crankseam-Replayed"
 DIGEST_LENGTH = 16
-"""Hexadecimal digits kept of the SHA-256 that tells requests under one key apart: 64 bits. Shorter
-records; origin not recorded."""
-SETTLE_S = 5.0
-"""How long a node tries to commit how a request ended, after which it is left as claimed. Origin
-not recorded."""
-SETTLE_PATIENCE_S = 0.25
-"""How long the caller's answer waits for that; after it, the commit goes on behind the answer. Less
-than `timing.record_timeout` (0.7 s), so that a replica that is silent does not delay callers."""
-SETTLE_PAUSE_S = 0.1
-"""Between two tries. Origin not recorded."""
+"""Hexadecimal digits kept of the SHA-256 that distinguishes requests with the same key: 64 bits.
+The digest is truncated to keep the records small."""
+COMMIT_TIMEOUT_S = 5.0
+"""How long a node tries to commit the final state of a request; after that, the request is left as
+claimed."""
+COMMIT_WAIT_S = 0.25
+"""How long the caller's answer waits for the commit, which then continues in the background. Less
+than `timing.record_timeout` (0.7 s), so that an unresponsive replica does not delay callers."""
+COMMIT_RETRY_DELAY_S = 0.1
+"""Delay between two attempts to commit."""
 
 
 @dataclass
 class HeldClaim:
-    """A claim of this node, and the ballot for the next write if the fast round gave one."""
+    """A claim of this node.
 
-    where: RecordKey
+    Attributes:
+        owned: the ballot for the next write; None unless the fast round created the record.
+    """
+
+    record_key: RecordKey
     record: RequestRecord
     owned: OwnedBallot | None
 
@@ -74,6 +78,7 @@
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
         self.settling = 0
+        """Number of final states that are still being committed."""
 
     def _locate(self, context: RequestContext) -> RecordKey:
         key = f"r/{context.service_name}/{context.idempotency_key}"
@@ -81,7 +86,7 @@
 
     @staticmethod
     def digest(context: RequestContext) -> str:
-        """What tells a request from another under the same key: method, path and body."""
+        """Return a digest of method, path and body, which detects reuse of a key."""
         head = f"{context.http.method} {context.path}\n".encode()
         return hashlib.sha256(head + context.body).hexdigest()[:DIGEST_LENGTH]
 
@@ -94,99 +99,102 @@
         )
 
     async def claim(self, context: RequestContext) -> HeldClaim | RequestRecord:
-        """Claim the request; a RequestRecord is what stood in the way.
+        """Claim the request.
+
+        Returns:
+            The claim, or the agreed record that prevents it.
 
         Raises:
-            RecordError: it is not known whether the claim holds; nothing may be forwarded.
+            RecordError: it is not known whether the claim holds; the request must not be forwarded.
         """
-        where = self._locate(context)
+        record_key = self._locate(context)
         record = self._new_record(context, RequestState.CLAIMED)
         encoded = encode_record(record)
-        owned = await self._agent.proposer.create(where, encoded)
+        owned = await self._agent.proposer.create(record_key, encoded)
         if owned is not None:
-            return HeldClaim(where, record, owned)
+            return HeldClaim(record_key, record, owned)
         value = await self._agent.proposer.change(
-            where, lambda standing: apply_claim(standing, record)
+            record_key, lambda standing: apply_claim(standing, record)
         )
         assert value is not None
         agreed = decode_record(value)
         if is_claimed_by(agreed, record):
-            return HeldClaim(where, agreed, None)
+            return HeldClaim(record_key, agreed, None)
         return agreed
 
-    async def settle(self, claim: HeldClaim, final: RequestRecord) -> None:
-        """Commit how a claimed request ended, in the background if it takes long."""
-        work = self._agent.tasks.start(self._settle(claim, final), "settle request")
-        await asyncio.wait([work], timeout=SETTLE_PATIENCE_S)
+    async def commit_final(self, claim: HeldClaim, final: RequestRecord) -> None:
+        """Commit the final state of a claimed request; wait at most `COMMIT_WAIT_S` for it."""
+        commit_task = self._agent.tasks.start(self._commit_final(claim, final), "settle request")
+        await asyncio.wait([commit_task], timeout=COMMIT_WAIT_S)
 
-    async def _settle(self, claim: HeldClaim, final: RequestRecord) -> None:
+    async def _commit_final(self, claim: HeldClaim, final: RequestRecord) -> None:
         self.settling += 1
         try:
-            if not await self._try_settling(claim, encode_record(final)):
-                # A retry will find `claimed` and be told `unknown`, which is true.
-                log.info("request left as claimed", extra={"key": claim.where.key})
+            if not await self._try_commit(claim, encode_record(final)):
+                # A retry will read `claimed` and be told `unknown`, which is true.
+                log.info("request left as claimed", extra={"key": claim.record_key.key})
         finally:
             self.settling -= 1
 
-    async def _try_settling(self, claim: HeldClaim, encoded: bytes) -> bool:
+    async def _try_commit(self, claim: HeldClaim, encoded: bytes) -> bool:
         try:
-            async with asyncio.timeout(SETTLE_S):
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 if claim.owned is not None:
-                    if await self._agent.proposer.overwrite(claim.where, claim.owned, encoded):
+                    if await self._agent.proposer.overwrite(claim.record_key, claim.owned, encoded):
                         return True
-                return await self._settle_slowly(claim, encoded)
+                return await self._commit_with_retries(claim, encoded)
         except TimeoutError:
             return False  # logged by the caller
 
-    async def _settle_slowly(self, claim: HeldClaim, encoded: bytes) -> bool:
+    async def _commit_with_retries(self, claim: HeldClaim, encoded: bytes) -> bool:
         while True:
             try:
                 value = await self._agent.proposer.change(
-                    claim.where,
+                    claim.record_key,
                     lambda standing: apply_final_record(standing, claim.record, encoded),
                 )
                 return value == encoded
             except RecordExpired:
                 return False
             except RecordError:
-                await asyncio.sleep(SETTLE_PAUSE_S)  # until SETTLE_S are over
+                await asyncio.sleep(COMMIT_RETRY_DELAY_S)  # until COMMIT_TIMEOUT_S has passed
 
     async def refuse(self, context: RequestContext) -> RequestRecord:
-        """Commit `not_run` for this attempt; returns what is agreed, which may be another state.
+        """Commit `not_run` for this attempt; return the agreed record, whose state may differ.
 
         Raises:
-            RecordError: nothing is known to be agreed; the caller must be told `unknown`.
+            RecordError: no agreement is known; the caller must be told `unknown`.
         """
-        where = self._locate(context)
+        record_key = self._locate(context)
         refusal = self._new_record(context, RequestState.NOT_RUN)
         refusal.refused_attempts = [context.request_id]
         encoded = encode_record(refusal)
-        if await self._agent.proposer.create(where, encoded) is not None:
+        if await self._agent.proposer.create(record_key, encoded) is not None:
             return refusal
         value = await self._agent.proposer.change(
-            where, lambda standing: apply_refusal(standing, refusal)
+            record_key, lambda standing: apply_refusal(standing, refusal)
         )
         assert value is not None
         return decode_record(value)
 
 
 class ClaimFilter:
-    """Claims before, and commits the end after, the filters that forward the request."""
+    """Claims a request before it is forwarded, and commits its final state afterwards."""
 
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Forward under a claim, or answer from the record that stands."""
+        """Forward the request under a claim, or answer from the existing record."""
         if not context.must_not_repeat:
             return await call_next(context)
         try:
             claim = await self._claims.claim(context)
         except RecordExpired:
-            raise IdentifierExpired("the key is older than what is remembered")
+            raise IdentifierExpired("the key is older than the time for which records are kept")
         except RecordError as error:
-            # The claim may hold although this node does not know it. It will not forward, and
-            # tries to have that agreed, so that the caller can be told.
+            # The claim may hold without this node's knowledge. The node does not forward the
+            # request; RefusalFilter tries to commit `not_run` before the caller is told so.
             raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_S)
         if isinstance(claim, RequestRecord):
             return self._answer_from(claim, context)
@@ -206,29 +214,29 @@
         try:
             answer = await call_next(context)
         except Problem as problem:
-            await self._settle_problem(claim, context, problem)
+            await self._commit_problem(claim, context, problem)
             raise
         except asyncio.CancelledError:
-            # The caller hung up. What was forwarded may have run; its record must not say less.
+            # The caller disconnected. A forwarded request may have run, which its record must show.
             if context.dispatched:
-                await asyncio.shield(self._settle_unknown(claim))
+                await asyncio.shield(self._commit_unknown(claim))
             raise
-        await self._settle_answer(claim, context, answer)
+        await self._commit_answer(claim, context, answer)
         return answer
 
-    async def _settle_problem(
+    async def _commit_problem(
         self, claim: HeldClaim, context: RequestContext, problem: Problem
     ) -> None:
-        # If it was not forwarded, the refusal filter commits `not_run` over this own claim.
+        # If the request was not forwarded, RefusalFilter replaces this claim by `not_run`.
         if context.dispatched:
             problem.outcome = OUTCOME_UNKNOWN
-            await self._settle_unknown(claim)
+            await self._commit_unknown(claim)
 
-    async def _settle_unknown(self, claim: HeldClaim) -> None:
+    async def _commit_unknown(self, claim: HeldClaim) -> None:
         final = msgspec.structs.replace(claim.record, state=RequestState.UNKNOWN)
-        await self._claims.settle(claim, final)
+        await self._claims.commit_final(claim, final)
 
-    async def _settle_answer(
+    async def _commit_answer(
         self, claim: HeldClaim, context: RequestContext, answer: Answer
     ) -> None:
         body = answer.body
@@ -242,17 +250,17 @@
             body=body,
             decision_id=context.decision.decision_id if context.decision else "",
         )
-        await self._claims.settle(claim, final)
+        await self._claims.commit_final(claim, final)
 
 
 class RefusalFilter:
-    """Turns every `not_run` into a committed state before the caller hears of it."""
+    """Commits the outcome `not_run` before the caller is told."""
 
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Pass answers through; check each problem's outcome."""
+        """Return answers unchanged; check the outcome of each problem."""
         try:
             return await call_next(context)
         except Problem as problem:
@@ -264,14 +272,15 @@
             problem.outcome = OUTCOME_UNKNOWN
         if not requires_agreement(context, problem.outcome):
             return
-        # In another region its record is out of reach: an earlier attempt may have run at home.
+        # The record of a request whose home is another region cannot be reached from here, and an
+        # earlier attempt may have run in the home region.
         if context.has_remote_home or not await self._is_agreed(context):
             problem.outcome = OUTCOME_UNKNOWN
 
     async def _is_agreed(self, context: RequestContext) -> bool:
-        """Have `not_run` agreed for this attempt; whether it is."""
+        """Commit `not_run` for this attempt; return whether that is agreed."""
         try:
             agreed = await self._claims.refuse(context)
         except RecordError:
-            return False  # nothing is known to be agreed, and the caller is told so
+            return False  # no agreement is known; the caller is told `unknown`
         return is_attempt_refused(agreed, context.request_id)
