--- a/src/crankseam/requests/home_region.py
+++ b/src/crankseam/requests/home_region.py
@@ -1,8 +1,8 @@
-"""Passes a request on to its service's home region, whose nodes keep the request's record.
+"""Forwards a request to its service's home region, whose nodes store the request's record.
 
-Owns the header that marks a request as passed on once. Relies on the digest for living nodes of the
-region. A node whose connection is refused is passed over; after the first byte nothing is tried
-again, since the request may have run.
+The digest lists the live nodes of the region. If a node cannot be connected to, the next one is
+tried. Once a byte was sent, no other node is tried, since the request may have run. A header marks
+a request that was forwarded from another region.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 log = logging.getLogger(__name__)
 
 FORWARDED_HEADER = "Crankseam-Forwarded"
-"""Set on a request that was passed on once, so that it is never passed on again."""
+"""Set on a request that was forwarded to its home region, so that it is forwarded only once."""
 
 MAX_NODES_TRIED = 3
-"""Nodes of the home region that are tried, so that a region whose nodes are all gone is noticed
-soon. Origin not recorded."""
+"""Maximum number of nodes of the home region that are tried, so that the caller gets an error soon
+if none of the nodes can be reached."""
 
 
 class HomeRegionFilter:
-    """Handles requests of this region's services here, and passes all others on."""
+    """Handles requests of this region's services, and forwards all others to their home region."""
 
     def __init__(self, agent: ClusterAgent, session: aiohttp.ClientSession) -> None:
         self._agent = agent
@@ -45,25 +45,25 @@
         self._random = random.Random(f"home {agent.identity}")
 
     async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
-        """Pass on, unless this is the home region or the request came from another region."""
-        home = context.require_service().home_region
-        if home == self._agent.settings.region:
+        """Forward the request, unless this is its home region or it was forwarded already."""
+        home_region = context.require_service().home_region
+        if home_region == self._agent.settings.region:
             return await call_next(context)
         context.has_remote_home = True
         if FORWARDED_HEADER in context.http.headers:
-            detail = f"this node is not in {home}, and the request was passed on once already"
+            detail = f"this node is not in {home_region}, and it was forwarded once already"
             raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.OTHER_REGION_S)
-        members = list(self._agent.digest.alive_in_region(home))
+        members = list(self._agent.digest.alive_in_region(home_region))
         self._random.shuffle(members)
         for member in members[:MAX_NODES_TRIED]:
             try:
-                return await self._pass_on(context, member)
+                return await self._forward_to(context, member)
             except aiohttp.ClientConnectorError:
                 log.info("home node not reached", extra={"node": member.name})
-        detail = f"no node of the home region {home} can be reached"
+        detail = f"no node of the home region {home_region} can be reached"
         raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.OTHER_REGION_S)
 
-    async def _pass_on(self, context: RequestContext, member: Member) -> Answer:
+    async def _forward_to(self, context: RequestContext, member: Member) -> Answer:
         headers = end_to_end_headers(context.http.headers)
         headers[FORWARDED_HEADER] = self._agent.settings.name
         headers[REQUEST_ID_HEADER] = context.request_id
