--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -1,12 +1,13 @@
-"""Last step of the chain: choose a back end, send the request there, return its whole answer.
+"""Last handler of the chain: sends the request to a back end and returns the answer.
 
-Owns the attempts of one request. Relies on the router for the choice, on `attempts` for whether
-another one may follow, on the quarantine for requests under which back ends ended, and on
-`may_send` for whether this node may act now; that is asked directly before the first byte.
+The router chooses the back end, `attempts` decides whether a failed attempt is retried, and the
+quarantine holds requests under which back ends crashed. `may_send` tells whether this node may send
+work at all; it is checked directly before the first byte is sent.
 
-`serving/forwarding` does this on the users' platform, and differs by intent: a slow request may get
-a second attempt beside the first there, back ends may reject it for want of a slot, and what runs
-once has no agreed record, so it is never sent again once a byte left.
+`serving/forwarding` is the counterpart on the users' platform. It differs on purpose: there, a slow
+request may get a hedged second attempt, a back end may reject a request for lack of a free slot,
+and a request that may run only once has no replicated record, so it is never resent after its first
+byte was sent.
 """
 
 from __future__ import annotations
@@ -45,13 +46,12 @@
 from crankseam.serving.tenants import NO_TENANT
 
 CHUNK_BYTES = 64 * 1024
-"""An answer up to this size is passed on as a whole, a longer one in chunks. Origin not
-recorded."""
-SERVER_ERROR = 500
-"""From this status on an answer says that the back end failed on the request."""
+"""An answer up to this size is buffered, a longer one is streamed in chunks of this size."""
+MIN_SERVER_ERROR_STATUS = 500
+"""An answer with this status or a higher one means that the back end failed on the request."""
 
 
-def _subject(context: RequestContext) -> TrialSubject:
+def _trial_subject(context: RequestContext) -> TrialSubject:
     http = context.http
     return TrialSubject(
         context.request_id,
@@ -65,11 +65,11 @@
 
 
 class _NotSent(Exception):
-    """The back end refused the connection: not one byte of the request was sent."""
+    """The connection to the back end failed, so no byte of the request was sent."""
 
 
 class Forwarder:
-    """Sends requests to back ends."""
+    """Sends requests to back ends, with retries."""
 
     def __init__(
         self,
@@ -89,10 +89,10 @@
         self._budget = new_retry_budget()
 
     async def __call__(self, context: RequestContext) -> Answer:
-        """Forward; raises Problem when there is no answer to give."""
+        """Forward the request; raises Problem if no attempt gave an answer."""
         self._budget.count_attempt()
         service = context.require_service()
-        trial = Trial(self._quarantine, _subject(context), service.crash_limit)
+        trial = Trial(self._quarantine, _trial_subject(context), service.crash_limit)
         await trial.admit()
         try:
             return await self._attempt_until_answered(context, trial)
@@ -148,20 +148,20 @@
 
     async def _attempt(self, context: RequestContext, back_end: BackEnd, send: Send) -> Answer:
         target = f"{context.service_name}/{back_end.name}"
-        # Directly before the first byte: this process may have been stopped since the choice.
+        # Checked directly before sending, since the process may have been suspended since routing.
         if not self._may_send():
             outcome = context.outcome_so_far()
             raise Unavailable("this node was cut off or stopped", outcome, retry_after.STALE_VIEW_S)
         remaining = context.remaining()
         if not has_time_to_forward(remaining):
             outcome = context.outcome_so_far()
-            detail = "the deadline passed before it was forwarded"
+            detail = "the deadline passed before the request was forwarded"
             raise DeadlineExceeded(detail, outcome, retry_after.PAST_DEADLINE_S)
         self._router.start(target)
         try:
             async with asyncio.timeout(remaining):
                 answer = await self._send(context, back_end, remaining)
-            send.was_answered = answer.status < SERVER_ERROR
+            send.was_answered = answer.status < MIN_SERVER_ERROR_STATUS
             return answer
         except aiohttp.ClientConnectorError as error:
             send.was_not_run = True
@@ -209,18 +209,21 @@
         upstream: aiohttp.ClientResponse,
         headers: dict[str, str],
     ) -> Answer:
-        """Pass an answer through as it comes. If it breaks off, so does the caller's: an answer
-        cut short never looks like a whole one."""
-        first = await upstream.content.read(CHUNK_BYTES)
+        """Stream the answer to the caller.
+
+        If the back end's answer breaks off, the caller's connection is aborted, so that a truncated
+        answer never looks complete.
+        """
+        first_chunk = await upstream.content.read(CHUNK_BYTES)
         if upstream.content.at_eof():
-            return Answer(upstream.status, headers, first)
+            return Answer(upstream.status, headers, first_chunk)
         response = web.StreamResponse(status=upstream.status, headers=headers)
         if context.decision is not None:
             response.headers[DECISION_HEADER] = context.decision.decision_id
         context.answer_started = True
         await response.prepare(context.http)
         try:
-            await response.write(first)
+            await response.write(first_chunk)
             async for chunk in upstream.content.iter_chunked(CHUNK_BYTES):
                 await response.write(chunk)
             await response.write_eof()
@@ -232,7 +235,7 @@
 
 
 def trace_first_byte() -> aiohttp.TraceConfig:
-    """Marks a request as dispatched from the moment its first byte may leave this process."""
+    """Return a trace configuration that marks a request as dispatched before its first byte."""
     trace = aiohttp.TraceConfig()
 
     async def on_connection_ready(
