--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -86,7 +86,10 @@
 
     @staticmethod
     def digest(context: RequestContext) -> str:
-        """Return a digest of method, path and body, which detects reuse of a key."""
+        """Return a digest of method, path and body.
+
+        A request with the key of another request is recognised by its different digest.
+        """
         head = f"{context.http.method} {context.path}\n".encode()
         return hashlib.sha256(head + context.body).hexdigest()[:DIGEST_LENGTH]
 
