--- a/src/crankseam/clients/address_probe.py
+++ b/src/crankseam/clients/address_probe.py
@@ -1,26 +1,26 @@
-"""Looks whether anything listens at an address, without asking it anything.
+"""Checks whether any process listens at an address, without sending it a request.
 
-Owns nothing. A refused connection proves that the process there has ended; silence proves nothing.
+A refused connection proves that the process there has ended; a time-out proves nothing.
 """
 
 from __future__ import annotations
 
 import asyncio
 
-REFUSAL_S = 0.1
-"""An address where nothing listens says so within a round trip, between regions too. Origin not
-recorded."""
+CONNECT_TIMEOUT_S = 0.1
+"""An address where nothing listens refuses a connection within one round trip, which is shorter
+than this between regions too."""
 
 
 async def refuses_connections(address: str) -> bool:
-    """Whether `ip:port` said that nothing listens there; False if it said nothing."""
+    """Whether `ip:port` refuses a connection; False on success, time-out or another error."""
     host, port = address.rsplit(":", 1)
     try:
-        async with asyncio.timeout(REFUSAL_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
     except (OSError, TimeoutError):
-        return False  # silence proves nothing
+        return False  # only a refused connection proves that the process ended
     writer.close()
     return False
