--- a/src/crankseam/clients/machine_list.py
+++ b/src/crankseam/clients/machine_list.py
@@ -1,7 +1,7 @@
-"""Client of the platform's list of machines: polled JSON, which lags behind the truth.
+"""Client of the platform's list of machines: a JSON document that is polled and may be out of date.
 
-Owns its connection. A list that cannot be read is empty and logged; nothing may be concluded from
-that.
+If the list cannot be read, the failure is logged and the result is empty. An empty result therefore
+does not mean that there are no machines.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 log = logging.getLogger(__name__)
 
-TIMEOUT_S = 2.0
-"""For one reading of the list. Origin not recorded."""
+FETCH_TIMEOUT_S = 2.0
+"""Timeout of one request for the list."""
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """One machine of the list."""
+    """One machine in the list."""
 
     name: str
     zone: str
@@ -28,23 +28,23 @@
 
 
 class MachineList(msgspec.Struct):
-    """The document that the platform serves."""
+    """The JSON document that the platform serves."""
 
     machines: list[Machine] = []
 
 
 class MachineListClient:
-    """Reads the list; it may be late and may be down."""
+    """Reads the list of machines, which may be out of date or unavailable."""
 
     def __init__(self, address: str) -> None:
         self._url = f"http://{address}/machines"
         self._session: aiohttp.ClientSession | None = None
 
     async def fetch_or_empty(self) -> list[Machine]:
-        """The machines listed now; empty when the list cannot be read."""
+        """Return the machines in the list; empty if the list cannot be read."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=FETCH_TIMEOUT_S)
         try:
             async with self._session.get(self._url, timeout=timeout) as answer:
                 answer.raise_for_status()
@@ -55,6 +55,6 @@
             return []
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
