--- a/src/crankseam/clients/single_send.py
+++ b/src/crankseam/clients/single_send.py
@@ -1,4 +1,4 @@
-"""HTTP sessions that send a request once, whatever becomes of its connection."""
+"""HTTP sessions that never resend a request on their own."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def single_send_session(**options: Any) -> aiohttp.ClientSession:
-    """A session that leaves it to its user to send a request again.
+    """Return a session without automatic retries, which are left to the caller.
 
-    The library sends GET, PUT, DELETE and their like again by itself, on a new connection, when a
-    kept one breaks before the answer. A back end may have run the request by then: what may run
-    once would run twice, and a connection that is refused the second time would look as if nothing
-    had been sent. There is no public switch; `tests/platform/test_front.py` notices if this one
-    does nothing any more.
+    By default, aiohttp resends an idempotent request such as GET, PUT or DELETE on a new connection
+    if a kept-alive connection breaks before the answer. The back end may have run the request by
+    then, so a request that may run only once would run twice. If the second connection is refused,
+    it would also look as if nothing had been sent. aiohttp has no public option to disable this;
+    `tests/platform/test_front.py` fails if the private attribute set here loses its effect.
 
     Parameters
     ==========
 
-    options : as for `aiohttp.ClientSession`.
+    options : keyword arguments of `aiohttp.ClientSession`.
     """
     session = aiohttp.ClientSession(**options)
     session._retry_connection = False
