--- a/src/crankseam/clients/key_value_transactions.py
+++ b/src/crankseam/clients/key_value_transactions.py
@@ -1,7 +1,8 @@
 """Transactions of the coordination interface on the key-value service.
 
-Owns nothing: it lets `quarantine/` write through `crankseam node`'s client as it does through the
-store of the users' platform. A conflict tells what stands now, at the price of one read a key.
+This adapter lets `quarantine/` write through the client of `crankseam node` in the same way as
+through the store of the users' platform. After a conflict it reads the current entry of each
+condition's key, which costs one request per key.
 """
 
 from __future__ import annotations
@@ -10,26 +11,30 @@
 from crankseam.coordination.interface import Entry, Transaction, TransactionConflict
 
 
-def as_entry(found: KeyValue) -> Entry:
-    """A key of the service as the coordination interface shows it."""
-    return Entry(found.key, found.value, found.mod_revision, created=found.create_revision)
+def as_entry(current: KeyValue) -> Entry:
+    """Convert a key of the service to an entry of the coordination interface."""
+    return Entry(current.key, current.value, current.mod_revision, created=current.create_revision)
 
 
 class KeyValueTransactions:
-    """See TransactionStore."""
+    """Implements `TransactionStore` on a `KeyValueClient`."""
 
     def __init__(self, client: KeyValueClient) -> None:
         self._client = client
 
     async def commit(self, transaction: Transaction) -> int:
-        """See TransactionStore."""
-        conditions = [Unchanged(one.key, one.revision) for one in transaction.conditions]
+        """Commit the transaction and return its revision; see `TransactionStore`."""
+        conditions = [
+            Unchanged(condition.key, condition.revision) for condition in transaction.conditions
+        ]
         writes: list[Put | Delete] = [
-            Put(one.key, one.value, one.lease) for one in transaction.puts
+            Put(put.key, put.value, put.lease) for put in transaction.puts
         ]
         writes += [Delete(key) for key in transaction.removals]
         revision = await self._client.commit(conditions, writes)
         if revision is not None:
             return revision
-        found = [await self._client.get(one.key) for one in transaction.conditions]
-        raise TransactionConflict({one.key: as_entry(one) for one in found if one is not None})
+        current = [await self._client.get(condition.key) for condition in transaction.conditions]
+        raise TransactionConflict(
+            {entry.key: as_entry(entry) for entry in current if entry is not None}
+        )
