--- a/src/crankseam/clients/key_value_transactions.py
+++ b/src/crankseam/clients/key_value_transactions.py
@@ -11,9 +11,14 @@
 from crankseam.coordination.interface import Entry, Transaction, TransactionConflict
 
 
-def as_entry(current: KeyValue) -> Entry:
+def as_entry(key_value: KeyValue) -> Entry:
     """Convert a key of the service to an entry of the coordination interface."""
-    return Entry(current.key, current.value, current.mod_revision, created=current.create_revision)
+    return Entry(
+        key_value.key,
+        key_value.value,
+        key_value.mod_revision,
+        created=key_value.create_revision,
+    )
 
 
 class KeyValueTransactions:
@@ -24,17 +29,13 @@
 
     async def commit(self, transaction: Transaction) -> int:
         """Commit the transaction and return its revision; see `TransactionStore`."""
-        conditions = [
-            Unchanged(condition.key, condition.revision) for condition in transaction.conditions
-        ]
+        conditions = [Unchanged(one.key, one.revision) for one in transaction.conditions]
         writes: list[Put | Delete] = [
-            Put(put.key, put.value, put.lease) for put in transaction.puts
+            Put(one.key, one.value, one.lease) for one in transaction.puts
         ]
         writes += [Delete(key) for key in transaction.removals]
         revision = await self._client.commit(conditions, writes)
         if revision is not None:
             return revision
-        current = [await self._client.get(condition.key) for condition in transaction.conditions]
-        raise TransactionConflict(
-            {entry.key: as_entry(entry) for entry in current if entry is not None}
-        )
+        current = [await self._client.get(one.key) for one in transaction.conditions]
+        raise TransactionConflict({one.key: as_entry(one) for one in current if one is not None})
