--- a/src/crankseam/clients/weight_store.py
+++ b/src/crankseam/clients/weight_store.py
@@ -1,7 +1,7 @@
 """Client of the weight store: a JSON index, and ranged GETs that may be answered 429 or 503.
 
-Owns no connection of its own and tries nothing twice: what a caller does after a WeightStoreError
-is its own matter.
+The client uses the session of its caller and never retries; after a `WeightStoreError`, retries are
+up to the caller.
 """
 
 from __future__ import annotations
@@ -14,18 +14,17 @@
 
 from crankseam.errors import CrankseamError
 
-READ_SILENCE_S = 30.0
-"""Silence after which a read is given up. Origin not recorded."""
+READ_TIMEOUT_S = 30.0
+"""A read fails after this time without data."""
 CONNECT_TIMEOUT_S = 1.0
-"""Origin not recorded."""
 INDEX_TIMEOUT_S = 3.0
-"""For the whole index. Origin not recorded."""
+"""Timeout for reading the whole index."""
 CHUNK_BYTES = 4 * 1024 * 1024
-"""Written to the file at a time, in a thread. Origin not recorded."""
+"""Size of the chunks in which a download is written to its file, in a thread."""
 
 
 class WeightStoreError(CrankseamError):
-    """The store gave no usable answer; try again later."""
+    """The store gave no usable answer; a later attempt may succeed."""
 
 
 class WeightIndex(msgspec.Struct):
@@ -35,13 +34,13 @@
 
 
 class WeightStoreClient:
-    """Reads the index; the weights themselves are read by the samplers."""
+    """Reads the index and downloads versions of the weights."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def versions(self, address: str, pool: str) -> list[int]:
-        """Published versions of a pool. Raises WeightStoreError."""
+        """Return the published versions of a pool. Raises WeightStoreError."""
         timeout = aiohttp.ClientTimeout(total=INDEX_TIMEOUT_S)
         url = f"http://{address}/pools/{pool}/versions"
         try:
@@ -52,13 +51,14 @@
             raise WeightStoreError(type(error).__name__) from error
 
     async def download(self, address: str, pool: str, version: int, file: Path) -> None:
-        """Write a version's bytes to a file, a chunk at a time.
+        """Download a version to a file, in chunks.
 
         Raises:
-            WeightStoreError: also on the store's 429 and 503; the file may be half written.
+            WeightStoreError: the download failed, or the store answered with an error such as 429
+                or 503. The file may be incomplete.
         """
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_SILENCE_S
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_TIMEOUT_S
         )
         url = self.source(address, pool, version)
         try:
@@ -72,5 +72,5 @@
 
     @staticmethod
     def source(address: str, pool: str, version: int) -> str:
-        """URL from which a sampler loads a version."""
+        """Return the URL from which a version can be downloaded."""
         return f"http://{address}/pools/{pool}/versions/{version}"
