--- a/src/crankseam/clients/weight_store.py
+++ b/src/crankseam/clients/weight_store.py
@@ -34,7 +34,7 @@
 
 
 class WeightStoreClient:
-    """Reads the index and downloads versions of the weights."""
+    """Reads the index and downloads weights. Samplers load weights from the store themselves."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
@@ -72,5 +72,5 @@
 
     @staticmethod
     def source(address: str, pool: str, version: int) -> str:
-        """Return the URL from which a version can be downloaded."""
+        """Return the URL of a version, for a download or for a sampler's load order."""
         return f"http://{address}/pools/{pool}/versions/{version}"
