--- a/src/crankseam/clients/sampler.py
+++ b/src/crankseam/clients/sampler.py
@@ -1,7 +1,9 @@
 """Client of samplers: OpenAI-style completions over server-sent events, and fenced orders.
 
-Owns the forms of both. Relies on the sampler's own word for the version of each chunk. Nothing is
-tried again here; each error says whether tokens may have been generated.
+An order tells a sampler to load or to serve a weight version. It carries a fencing token, so that a
+sampler rejects orders of a node that has lost the duty to issue them. The weight version of each
+chunk is the one that the sampler reports. Requests are not retried here; the class of an error
+tells whether tokens may have been generated.
 """
 
 from __future__ import annotations
@@ -16,48 +18,55 @@
 
 DATA_PREFIX = b"data: "
 END_OF_STREAM = b"[DONE]"
-REASON_BOUND = "length"
-"""`finish_reason` of a completion that ended at its max_tokens."""
+LENGTH_FINISH_REASON = "length"
+"""`finish_reason` of a completion that was truncated at `max_tokens`."""
 CONNECT_TIMEOUT_S = 1.0
-"""Of a completion or order. Origin not recorded."""
+"""Timeout for the connection of a completion or order."""
 STATE_TIMEOUT_S = 2.0
-"""For reading what a sampler serves. Origin not recorded."""
+"""Timeout for reading the state of a sampler."""
 ORDER_TIMEOUT_S = 120.0
-"""For an order; loading a version takes tens of seconds. Origin not recorded."""
+"""Timeout of an order; loading a version takes tens of seconds."""
 
 
 class SamplerError(CrankseamError):
-    """The sampler did not finish what it was asked for."""
+    """The sampler did not complete a request or order."""
 
 
 class SamplerRefused(SamplerError):
-    """The sampler turned the request down before it began."""
+    """The sampler refused the request before it generated any token."""
 
 
 class SamplerStreamBroke(SamplerError):
-    """The stream ended before its last chunk."""
+    """The stream of a completion ended before the last chunk."""
 
 
 class OrderRefused(SamplerError):
-    """The order's fence is older than one the sampler has seen."""
+    """The order's fencing token is older than one that the sampler has seen."""
 
 
 class OrderFailed(SamplerError):
-    """The order was taken and failed, such as a weight load that broke off."""
+    """The order failed, for example because the weights could not be loaded."""
 
 
 class TokenChunk(msgspec.Struct):
-    """Some tokens, and the weight version that truly made them."""
+    """Consecutive tokens of a completion, and the weight version that generated them."""
 
     tokens: list[int]
     version: int
     finished: bool = False
     cut_by_bound: bool = False
-    """The completion ended at its max_tokens, not by itself."""
+    """Whether the completion was truncated at `max_tokens`."""
 
 
 class SamplerState(msgspec.Struct):
-    """What a sampler says of its weights."""
+    """The weight versions that a sampler reports.
+
+    Attributes:
+        serving: version that generates tokens now.
+        loaded: versions that are loaded.
+        loading: version that is being loaded, if any.
+        fence: newest fencing token that the sampler has seen.
+    """
 
     serving: int
     loaded: list[int]
@@ -80,9 +89,9 @@
     """One completion to generate.
 
     Attributes:
-        max_tokens: bound on the tokens of this completion, without the prior ones.
-        prior_tokens: tokens already generated elsewhere, to go on from.
-        priority: lower numbers run first.
+        max_tokens: maximum number of new tokens, without the prior ones.
+        prior_tokens: tokens already generated elsewhere, which the completion continues.
+        priority: requests with lower numbers run first.
     """
 
     request_id: str
@@ -93,18 +102,23 @@
 
 
 class SamplerClient:
-    """Talks to any sampler by its address."""
+    """Sends completions and orders to samplers.
+
+    Args:
+        session: HTTP session of the caller.
+        silence_timeout: seconds without data after which a completion fails.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, silence_timeout: float) -> None:
         self._session = session
-        self._silence = silence_timeout
+        self._read_timeout = silence_timeout
 
     async def complete(self, address: str, request: CompletionRequest) -> AsyncIterator[TokenChunk]:
-        """Yield chunks until the completion is whole; closing the generator cancels it.
+        """Yield chunks until the completion has finished; closing the generator cancels it.
 
         Raises:
-            SamplerRefused: nothing was generated.
-            SamplerStreamBroke: the stream ended early; the chunks so far are valid.
+            SamplerRefused: no token was generated.
+            SamplerStreamBroke: the stream ended early; the chunks received so far are valid.
         """
         body = {
             "prompt": request.prompt,
@@ -115,7 +129,7 @@
             "request_id": request.request_id,
         }
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=self._silence
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=self._read_timeout
         )
         url = f"http://{address}/v1/completions"
         try:
@@ -133,7 +147,7 @@
         raise SamplerStreamBroke("ended without a last chunk")
 
     async def state(self, address: str) -> SamplerState:
-        """What the sampler serves and has loaded. Raises SamplerError."""
+        """Return the weight versions that the sampler reports. Raises SamplerError."""
         try:
             timeout = aiohttp.ClientTimeout(total=STATE_TIMEOUT_S)
             url = f"http://{address}/admin/state"
@@ -144,11 +158,11 @@
             raise SamplerError(type(error).__name__) from error
 
     async def load(self, address: str, version: int, source: str, fence: int) -> None:
-        """Have the sampler load a version beside the one it serves; returns when it is loaded."""
+        """Order the sampler to load a version while it serves another; return once it is loaded."""
         await self._order(address, "load", {"version": version, "source": source, "fence": fence})
 
     async def switch(self, address: str, version: int, fence: int) -> None:
-        """Have the sampler serve a loaded version."""
+        """Order the sampler to serve a loaded version."""
         await self._order(address, "switch", {"version": version, "fence": fence})
 
     async def _order(self, address: str, order: str, body: dict[str, int | str]) -> None:
@@ -180,5 +194,5 @@
             tokens=choice.token_ids,
             version=completion.weight_version,
             finished=choice.finish_reason is not None,
-            cut_by_bound=choice.finish_reason == REASON_BOUND,
+            cut_by_bound=choice.finish_reason == LENGTH_FINISH_REASON,
         )
