--- a/src/crankseam/clients/load_report.py
+++ b/src/crankseam/clients/load_report.py
@@ -1,6 +1,7 @@
-"""Reads a back end's load from its Prometheus text.
+"""Reads the load of a back end from its Prometheus metrics.
 
-Owns which metrics count, with or without an engine's prefix. A report may lag behind what runs.
+Metric names are matched with or without the prefix of an inference engine. A report may lag behind
+the actual load.
 """
 
 from __future__ import annotations
@@ -15,22 +16,22 @@
 VERSION = "weight_version"
 LEAVING = "leaving"
 NO_VERSION = -1
-"""Stands for the weight version of a back end that has none; on the wire between nodes too."""
+"""Weight version of a back end that has none, also in the messages between nodes."""
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What a back end says of itself; it may lag behind."""
+    """The state that a back end reports, which may lag behind its actual state."""
 
     running: int
     waiting: int
     version: int
-    """Weight version served; -1 where there is none."""
+    """Weight version served; `NO_VERSION` if there is none."""
     leaving: bool
 
 
 def parse_load_report(text: str) -> LoadReport:
-    """Pick the known metrics out of Prometheus text; a prefix such as `vllm:` is ignored.
+    """Parse the known metrics of a Prometheus text; a prefix such as `vllm:` is ignored.
 
     Raises:
         ValueError: the text is not in the Prometheus format.
@@ -51,11 +52,13 @@
 async def fetch_load_report(
     session: aiohttp.ClientSession, address: str, timeout: float
 ) -> LoadReport | None:
-    """A back end's report, or None when it gives none in time."""
+    """Return the report of a back end, or None if it cannot be read within `timeout` seconds."""
     limit = aiohttp.ClientTimeout(total=timeout)
     try:
         async with session.get(f"http://{address}/metrics", timeout=limit) as answer:
             answer.raise_for_status()
             return parse_load_report(await answer.text())
     except (aiohttp.ClientError, TimeoutError, ValueError):
-        return None  # the caller counts and reports it: a watcher, or a probe before sending
+        return (
+            None  # the caller, a watcher or a probe before sending, counts and reports the failure
+        )
