--- a/src/crankseam/clients/key_value.py
+++ b/src/crankseam/clients/key_value.py
@@ -79,7 +79,7 @@
 
 
 def prefix_end(prefix: str) -> str:
-    """Return the end of the key range that holds exactly the keys with this prefix."""
+    """Return the exclusive end of the key range that holds exactly the keys with this prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
--- a/src/crankseam/clients/load_report.py
+++ b/src/crankseam/clients/load_report.py
@@ -59,6 +59,5 @@
             answer.raise_for_status()
             return parse_load_report(await answer.text())
     except (aiohttp.ClientError, TimeoutError, ValueError):
-        return (
-            None  # the caller, a watcher or a probe before sending, counts and reports the failure
-        )
+        # The caller, a watcher or a probe before sending, counts and reports the failure.
+        return None
