--- a/src/crankseam/clients/__init__.py
+++ b/src/crankseam/clients/__init__.py
@@ -1,1 +1,1 @@
-"""One client module for each outside system."""
+"""Clients of external systems, one module for each."""
--- a/src/crankseam/requests/__init__.py
+++ b/src/crankseam/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The filter chain that every app request passes."""
+"""The filter chain that handles every app request."""
