--- a/tests/requests/test_app_requests.py
+++ b/tests/requests/test_app_requests.py
@@ -1,4 +1,4 @@
-"""App requests through real nodes: whole answers, at most once, an honest `not_run`."""
+"""Tests of app requests: complete answers, at-most-once execution, and a true `not_run`."""
 
 import asyncio
 import uuid
@@ -80,7 +80,7 @@
 
 
 async def test_not_run_is_committed_before_it_is_told(cluster, session):
-    """A claimant paused before its claim and woken after `not_run` was told sends nothing."""
+    """A handling that stalls before its claim must send nothing once `not_run` was told."""
     key, attempt = new_dated_id(), str(uuid.uuid4())
     cluster.nodes[0].admission.draining = True
     status, problem, headers = await book(session, cluster.url(0), key, request_id=attempt)
@@ -89,7 +89,7 @@
     decision_id = headers["Crankseam-Decision"]
     [decision] = await cluster.nodes[0].decisions.find(decision_id)
     assert decision.kind == "refuse" and "stopping" in decision.reason
-    # The same attempt wakes on another node.
+    # Another handling of the same attempt, on another node, must not run it either.
     status, problem, _ = await book(session, cluster.url(1), key, request_id=attempt)
     assert problem["outcome"] == "not_run"
     assert key not in cluster.platform.ran()
@@ -116,7 +116,7 @@
     node.agent.proposer.create = lost
     node.agent.proposer.change = lost
     status, problem, headers = await book(session, cluster.url(0), new_dated_id())
-    assert status in (429, 503)  # the limit's share cannot be renewed either
+    assert status in (429, 503)  # 429 if the share of the limit cannot be renewed either
     assert problem["outcome"] == "unknown"
     assert "Retry-After" in headers
 
@@ -151,40 +151,43 @@
 
 
 async def test_a_node_that_was_stopped_sends_nothing_on_its_old_view(cluster, session):
-    """Paused between its choice and the first byte, for longer than a back end needs to leave."""
+    """The node stalls between routing and the first byte, longer than a back end needs to drain."""
     node = cluster.nodes[0]
     key = new_dated_id()
-    decide = node.decisions.record
+    record_decision = node.decisions.record
 
     def pause_after_the_choice(decision):
-        decide(decision)
+        record_decision(decision)
         node.agent.stall_guard._ticked_at -= 10.0
 
     node.decisions.record = pause_after_the_choice
     status, problem, _ = await book(session, cluster.url(0), key)
     assert (status, problem["outcome"]) == (503, "not_run")
     assert key not in cluster.platform.ran()
-    node.decisions.record = decide
+    node.decisions.record = record_decision
     await eventually(node.agent.may_send_work, "the view is renewed")
     assert (await book(session, cluster.url(0), new_dated_id()))[0] == 200
 
 
 async def test_a_back_end_that_leaves_in_a_cut_zone_gets_no_work(cluster, session):
-    """Found by experiments/faults.toml, seed 10: a zone was cut off from the other nodes, but not
-    its back ends; that one of them was leaving did not get through to the nodes outside."""
+    """Guards against sending work to a leaving back end in a zone whose nodes are cut off.
+
+    The nodes outside can reach the back ends of the zone, but not its nodes, so they are not told
+    that a back end is leaving. Found by experiments/faults.toml, seed 10.
+    """
     zone_a, outside = cluster.nodes[0], cluster.nodes[1]
     inside_address = zone_a.agent.own.peer_address
     for node in cluster.nodes.values():
         call = node.agent.transport.call
         is_inside = node is zone_a
 
-        async def cut(address, message, timeout, call=call, is_inside=is_inside):
+        async def call_unless_cut(address, message, timeout, call=call, is_inside=is_inside):
             if is_inside or address == inside_address:
                 raise PeerTimeout(address)
             return await call(address, message, timeout)
 
-        node.agent.transport.call = cut
-        # Only what is known before the zone is taken for dead is looked at here.
+        node.agent.transport.call = call_unless_cut
+        # Keeps the silent zone from being declared dead: the test covers the time before that.
         node.agent.membership._relay._declare_silent_zones = lambda: None
     cluster.platform.apps["app-0"].faults.leaving = True
     silence = outside.settings.timing.heartbeat_interval * 2
@@ -195,7 +198,7 @@
 
 
 async def test_a_request_survives_its_nodes_death_as_unknown(cluster, session):
-    """The record of a claim outlives the claimant; the retry is answered at once."""
+    """The record of a claim outlives the node that holds it; the retry is answered at once."""
     key = new_dated_id()
     for app in cluster.platform.apps.values():
         app._work_seconds = 5.0
