--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -1,4 +1,7 @@
-"""A request that ends each app server which begins it comes again and again, at any node."""
+"""Tests of the quarantine of a request that crashes every app server which runs it.
+
+Its caller resends it to any node, so without the quarantine it would crash all app servers.
+"""
 
 import asyncio
 import json
@@ -14,25 +17,25 @@
 from crankseam.quarantine import holding
 from tests.support.harness import eventually, running_cluster
 
-DEADLY = b"ends its server"
-DOWN_S = 0.3
+CRASHING_BODY = b"ends its server"
+RESTART_DELAY_S = 0.3
 FIRST_HOLD_S = 0.6
 
 
-class RevivedApp:
-    """An app server that ends by a body and is back at its address soon after."""
+class RestartingApp:
+    """An app server that crashes on a given body and restarts at its address soon after."""
 
     def __init__(self, app, address):
         self.app = app
         self.host, port = address.rsplit(":", 1)
         self.port = int(port)
-        self.ended_at = []
-        app.ended_by = DEADLY
-        app.on_end = self._end
+        self.crashed_at = []
+        app.ended_by = CRASHING_BODY
+        app.on_end = self._crash
         self._tasks = set()
 
     async def start(self, runner):
-        """Listen in place of the harness's listener."""
+        """Replace the harness's listener by one that can crash."""
         await runner.cleanup()
         await self._listen()
 
@@ -42,19 +45,19 @@
         self.site = web.TCPSite(self.runner, self.host, self.port, reuse_address=True)
         await self.site.start()
 
-    def _end(self):
-        self.ended_at.append(time.monotonic())
+    def _crash(self):
+        self.crashed_at.append(time.monotonic())
         self.site._server.close()
         for connection in list(self.runner.server.connections):
             if connection.transport is not None:
                 connection.transport.abort()
-        task = asyncio.create_task(self._revive(self.runner))
+        task = asyncio.create_task(self._restart(self.runner))
         self._tasks.add(task)
 
-    async def _revive(self, ended):
-        await asyncio.sleep(DOWN_S)
+    async def _restart(self, old_runner):
+        await asyncio.sleep(RESTART_DELAY_S)
         await self._listen()
-        await ended.cleanup()
+        await old_runner.cleanup()
 
     async def stop(self):
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -66,14 +69,17 @@
     monkeypatch.setattr(holding, "FIRST_HOLD_S", FIRST_HOLD_S)
     async with running_cluster() as running:
         platform = running.platform
-        running.revived = [
-            RevivedApp(platform.apps[name], platform.app_addresses[name]) for name in platform.apps
+        running.restarting_apps = [
+            RestartingApp(platform.apps[name], platform.app_addresses[name])
+            for name in platform.apps
         ]
-        for revived, runner in zip(running.revived, platform._runners[1:], strict=True):
-            await revived.start(runner)
+        for restarting_app, runner in zip(
+            running.restarting_apps, platform._runners[1:], strict=True
+        ):
+            await restarting_app.start(runner)
         yield running
-        for revived in running.revived:
-            await revived.stop()
+        for restarting_app in running.restarting_apps:
+            await restarting_app.stop()
 
 
 @pytest.fixture
@@ -82,7 +88,7 @@
         yield client
 
 
-async def send(session, url, body=DEADLY, method="OPTIONS"):
+async def send(session, url, body=CRASHING_BODY, method="OPTIONS"):
     headers = {"Request-Id": str(uuid.uuid4())}
     if method == "POST":
         headers["Idempotency-Key"] = new_dated_id()
@@ -92,15 +98,15 @@
         return answer.status, dict(answer.headers), await answer.text()
 
 
-def ends(cluster):
-    return [at for revived in cluster.revived for at in revived.ended_at]
+def crash_times(cluster):
+    return [at for restarting_app in cluster.restarting_apps for at in restarting_app.crashed_at]
 
 
 def suspects(node):
     return node.suspects.quarantine.suspects()
 
 
-async def known_to_all(cluster, count=2):
+async def wait_until_known_to_all(cluster, count=2):
     await eventually(
         lambda: all(
             any(len(one.record.ended) >= count for _, one in suspects(node))
@@ -114,33 +120,33 @@
 async def test_a_request_that_ended_two_back_ends_is_held_by_every_node(cluster, session, method):
     for number in range(20):
         await send(session, cluster.url(number % 3), method=method)
-        if len(ends(cluster)) >= 2:
+        if len(crash_times(cluster)) >= 2:
             break
         await asyncio.sleep(0.05)
-    await known_to_all(cluster)
-    count = len(ends(cluster))
+    await wait_until_known_to_all(cluster)
+    count = len(crash_times(cluster))
     for number in range(6):
         status, headers, text = await send(session, cluster.url(number % 3), method=method)
         assert status == 503 and "request-held" in text, text
         assert json.loads(text)["outcome"] == "not_run"
         assert 0 < float(headers["Retry-After"])
-    assert len(ends(cluster)) == count == 2
+    assert len(crash_times(cluster)) == count == 2
 
 
-async def test_returns_all_the_time_end_no_more_than_two_and_the_probes(cluster, session):
+async def test_constant_resending_crashes_at_most_two_back_ends_and_the_probes(cluster, session):
     end = time.monotonic() + 6.0
     number = 0
     while time.monotonic() < end:
         number += 1
         await send(session, cluster.url(number % 3))
         await asyncio.sleep(0.05)
-    assert 3 <= len(ends(cluster)) <= 2 + holding.MOST_PROBES
+    assert 3 <= len(crash_times(cluster)) <= 2 + holding.MOST_PROBES
 
 
 async def test_an_operator_sees_it_and_releases_it(cluster, session, capsys):
-    while len(ends(cluster)) < 2:
+    while len(crash_times(cluster)) < 2:
         await send(session, cluster.url(0))
-    await known_to_all(cluster)
+    await wait_until_known_to_all(cluster)
     node = cluster.url(1).removeprefix("http://")
 
     async def run(*arguments):
@@ -150,8 +156,8 @@
     code, text = await run("list", "--json")
     [listed] = json.loads(text)
     assert code == 0 and listed["held"] and len(listed["ended"]) == 2
-    assert listed["route"] == "booking" and listed["body_bytes"] == len(DEADLY)
-    assert DEADLY.decode() not in text
+    assert listed["route"] == "booking" and listed["body_bytes"] == len(CRASHING_BODY)
+    assert CRASHING_BODY.decode() not in text
     code, text = await run("list")
     assert code == 0 and listed["fingerprint"] in text
     code, _ = await run("release", "0" * 32)
@@ -162,9 +168,9 @@
 
 
 async def test_the_decision_names_the_back_ends_that_ended(cluster, session):
-    while len(ends(cluster)) < 2:
+    while len(crash_times(cluster)) < 2:
         await send(session, cluster.url(0))
-    await known_to_all(cluster)
+    await wait_until_known_to_all(cluster)
     _, headers, _ = await send(session, cluster.url(2))
     async with session.get(
         f"{cluster.url(1)}/operator/explain/{headers['Crankseam-Decision']}"
@@ -174,15 +180,15 @@
 
 
 async def test_a_node_that_starts_later_holds_it_back(cluster, session):
-    while len(ends(cluster)) < 2:
+    while len(crash_times(cluster)) < 2:
         await send(session, cluster.url(0))
-    await known_to_all(cluster)
+    await wait_until_known_to_all(cluster)
     node = await cluster.start_node(3)
     await cluster.wait_ready()
     await eventually(lambda: bool(suspects(node)), "read")
 
 
-async def test_a_calm_day_writes_nothing(cluster, session):
+async def test_lost_answers_of_a_healthy_request_store_no_suspect(cluster, session):
     cluster.platform.apps["app-0"].faults.lose_answers = 3
     for number in range(12):
         await send(session, cluster.url(number % 3), b"healthy")
