--- a/tests/requests/test_fuzz.py
+++ b/tests/requests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzz of the callers' entrance: typed answers, no status 500 of the node's own, still ready."""
+"""Fuzz test of the callers' HTTP interface: malformed requests must not cause a status 500."""
 
 import asyncio
 import random
