--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -117,7 +117,7 @@
         if owned is not None:
             return HeldClaim(record_key, record, owned)
         value = await self._agent.proposer.change(
-            record_key, lambda standing: apply_claim(standing, record)
+            record_key, lambda current: apply_claim(current, record)
         )
         assert value is not None
         agreed = decode_record(value)
@@ -154,7 +154,7 @@
             try:
                 value = await self._agent.proposer.change(
                     claim.record_key,
-                    lambda standing: apply_final_record(standing, claim.record, encoded),
+                    lambda current: apply_final_record(current, claim.record, encoded),
                 )
                 return value == encoded
             except RecordExpired:
@@ -175,7 +175,7 @@
         if await self._agent.proposer.create(record_key, encoded) is not None:
             return refusal
         value = await self._agent.proposer.change(
-            record_key, lambda standing: apply_refusal(standing, refusal)
+            record_key, lambda current: apply_refusal(current, refusal)
         )
         assert value is not None
         return decode_record(value)
--- a/src/crankseam/requests/claim_rules.py
+++ b/src/crankseam/requests/claim_rules.py
@@ -42,15 +42,15 @@
     return is_same_handling and record.state == RequestState.CLAIMED
 
 
-def apply_claim(standing: bytes | None, claim: RequestRecord) -> bytes | None:
+def apply_claim(current: bytes | None, claim: RequestRecord) -> bytes | None:
     """Return the record after a claim, or None to leave the current record unchanged.
 
     A claim succeeds if there is no record, or if the record has only refused attempts of the same
     request and the claiming attempt is not among them.
     """
-    if standing is None:
+    if current is None:
         return encode_record(claim)
-    record = decode_record(standing)
+    record = decode_record(current)
     if record.state != RequestState.NOT_RUN or record.body_digest != claim.body_digest:
         return None
     if claim.attempt in record.refused_attempts:
@@ -59,15 +59,15 @@
     return encode_record(updated)
 
 
-def apply_refusal(standing: bytes | None, refusal: RequestRecord) -> bytes | None:
+def apply_refusal(current: bytes | None, refusal: RequestRecord) -> bytes | None:
     """Return the record after the refusal of an attempt that this node did not forward.
 
     Returns None to leave the current record unchanged. A claim can only be withdrawn by the
     handling that holds it; a record of a request that may have run is never replaced.
     """
-    if standing is None:
+    if current is None:
         return encode_record(refusal)
-    record = decode_record(standing)
+    record = decode_record(current)
     is_own_claim = refusal.claimant != "" and is_claimed_by(record, refusal)
     if record.state != RequestState.NOT_RUN and not is_own_claim:
         return None
@@ -79,15 +79,15 @@
     return encode_record(msgspec.structs.replace(refusal, refused_attempts=refused))
 
 
-def apply_final_record(standing: bytes | None, claim: RequestRecord, final: bytes) -> bytes | None:
+def apply_final_record(current: bytes | None, claim: RequestRecord, final: bytes) -> bytes | None:
     """Return `final` if it may replace the current record, or None to leave that unchanged.
 
     The final state of a request replaces the claim of its own handling, and is also written if
     there is no record. It replaces no other record; writing it twice has no effect.
     """
-    if standing is None or standing == final:
+    if current is None or current == final:
         return final
-    return final if is_claimed_by(decode_record(standing), claim) else None
+    return final if is_claimed_by(decode_record(current), claim) else None
 
 
 def problem_for(record: RequestRecord) -> Problem | None:
--- a/src/crankseam/requests/context.py
+++ b/src/crankseam/requests/context.py
@@ -85,13 +85,13 @@
 def build_chain(filters: list[Filter], last: Next) -> Next:
     """Compose the filters into one handler; each filter calls the next, the last calls `last`."""
     chain = last
-    for item in reversed(filters):
-        chain = _bind(item, chain)
+    for request_filter in reversed(filters):
+        chain = _bind(request_filter, chain)
     return chain
 
 
-def _bind(item: Filter, call_next: Next) -> Next:
+def _bind(request_filter: Filter, call_next: Next) -> Next:
     async def step(context: RequestContext) -> Answer:
-        return await item(context, call_next)
+        return await request_filter(context, call_next)
 
     return step
--- a/tests/requests/test_claim_rules.py
+++ b/tests/requests/test_claim_rules.py
@@ -32,11 +32,11 @@
     return record(RequestState.NOT_RUN, attempt, claimant, refused_attempts=[attempt])
 
 
-def apply_rule(rule, standing, new):
-    """Return the record after `rule` was applied to `standing` with `new`."""
-    before = None if standing is None else encode_record(standing)
+def apply_rule(rule, current, new):
+    """Return the record after `rule` was applied to `current` with `new`."""
+    before = None if current is None else encode_record(current)
     after = rule(before, new)
-    return standing if after is None else decode_record(after)
+    return current if after is None else decode_record(after)
 
 
 def test_a_claim_is_taken_where_nothing_stands():
@@ -47,8 +47,8 @@
     "state", [RequestState.CLAIMED, RequestState.ANSWERED, RequestState.UNKNOWN]
 )
 def test_a_claim_never_replaces_what_may_have_run(state):
-    standing = record(state, "first", "token-a")
-    assert apply_rule(apply_claim, standing, claim("second", "token-b")) == standing
+    current = record(state, "first", "token-a")
+    assert apply_rule(apply_claim, current, claim("second", "token-b")) == current
 
 
 def test_after_a_refusal_another_attempt_may_claim_and_the_refused_one_may_not():
@@ -89,8 +89,8 @@
     assert apply_final_record(None, claim(), encoded) == encoded
     assert apply_final_record(encode_record(claim()), claim(), encoded) == encoded
     assert apply_final_record(encoded, claim(), encoded) == encoded
-    for standing in (claim(claimant="token-b"), refusal(), record(RequestState.UNKNOWN)):
-        assert apply_final_record(encode_record(standing), claim(), encoded) is None
+    for current in (claim(claimant="token-b"), refusal(), record(RequestState.UNKNOWN)):
+        assert apply_final_record(encode_record(current), claim(), encoded) is None
 
 
 def test_what_a_caller_is_told_of_each_state():
