--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -54,10 +54,10 @@
         task = asyncio.create_task(self._restart(self.runner))
         self._tasks.add(task)
 
-    async def _restart(self, old_runner):
+    async def _restart(self, ended):
         await asyncio.sleep(RESTART_DELAY_S)
         await self._listen()
-        await old_runner.cleanup()
+        await ended.cleanup()
 
     async def stop(self):
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/tests/requests/test_fuzz.py
+++ b/tests/requests/test_fuzz.py
@@ -1,4 +1,8 @@
-"""Fuzz test of the callers' HTTP interface: malformed requests must not cause a status 500."""
+"""Fuzz test of the callers' HTTP interface.
+
+A malformed request must get a typed answer or a closed connection, never a status 500, and the node
+must stay ready.
+"""
 
 import asyncio
 import random
