--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -46,7 +46,8 @@
 from crankseam.serving.tenants import NO_TENANT
 
 CHUNK_BYTES = 64 * 1024
-"""An answer up to this size is buffered, a longer one is streamed in chunks of this size."""
+"""Chunk size in which the answer to a repeatable request is streamed. An answer that ends within
+the first chunk is buffered, as is every answer to a request that must not be repeated."""
 MIN_SERVER_ERROR_STATUS = 500
 """An answer with this status or a higher one means that the back end failed on the request."""
 
