--- a/tests/requests/test_fuzz.py
+++ b/tests/requests/test_fuzz.py
@@ -1,4 +1,8 @@
-"""Fuzz of the callers' entrance: typed answers, no status 500 of the node's own, still ready."""
+"""Fuzz test of the callers' HTTP interface.
+
+A malformed request must get a typed answer or a closed connection, never a status 500, and the node
+must stay ready.
+"""
 
 import asyncio
 import random
