--- a/src/crankseam/rollout/__init__.py
+++ b/src/crankseam/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Training steps: generating samples and delivering them exactly once."""
+"""Generates the samples of training steps and delivers each sample to its trainer exactly once."""
--- a/src/crankseam/rollout/cursor.py
+++ b/src/crankseam/rollout/cursor.py
@@ -1,6 +1,7 @@
 """A trainer's cursor: the set of sample indices it has received, written as ranges `0-5,8`.
 
-Owns the text form. The cursor is the truth of what a trainer has, in whichever order it came.
+This module defines the text form. Samples may be received in any order, so the cursor is a set and
+not a position. It is the authoritative statement of which samples a trainer has.
 """
 
 from __future__ import annotations
@@ -8,15 +9,22 @@
 from collections.abc import Iterable
 
 MAX_INDEX = 1_000_000
-"""Highest index that a cursor may name: a short text must not become a large set. Origin not
-recorded."""
+"""Highest index that a cursor may contain. Without a limit, a short text such as `0-999999999`
+would be expanded into a very large set."""
 
 
 def parse_cursor(text: str) -> set[int]:
-    """The indices in a cursor; the empty text is the empty set.
+    """Return the set of indices in a cursor; an empty text means the empty set.
 
-    Raises:
-        ValueError: the text is no cursor.
+    Raises
+    ======
+
+    ValueError : the text is not a valid cursor.
+
+    See Also
+    ========
+
+    format_cursor
     """
     received: set[int] = set()
     for part in text.split(",") if text else []:
@@ -30,7 +38,13 @@
 
 
 def format_cursor(received: Iterable[int]) -> str:
-    """The shortest cursor for a set of indices."""
+    """Return the shortest cursor for a set of indices.
+
+    See Also
+    ========
+
+    parse_cursor
+    """
     ranges: list[tuple[int, int]] = []
     for index in sorted(received):
         if ranges and ranges[-1][1] == index - 1:
