--- a/src/crankseam/rollout/executors.py
+++ b/src/crankseam/rollout/executors.py
@@ -1,7 +1,9 @@
-"""Reads sampler streams on many nodes, so that the node that drives a step need not read all.
+"""Distributes the reading of sampler streams over the nodes of a region.
 
-The driving node chooses the sampler, counts what it sent there, and keeps the partial sample. An
-executor only reads one stream to its end or to where it breaks off, and returns what came.
+The node that drives a step (its driver) does not have to read all streams of the step itself. The
+driver chooses the sampler, counts its requests in flight there, and keeps the partial sample. An
+executor is the node that reads one stream until the stream ends or breaks, and returns the tokens
+that it received.
 """
 
 from __future__ import annotations
@@ -32,20 +34,24 @@
 
 log = logging.getLogger(__name__)
 
-LOCAL_STREAMS = 64
-"""Streams a driving node reads itself before it asks others (the cost of a stream is in
-docs/CAPACITY.md). Origin of the value not recorded."""
+MAX_LOCAL_STREAMS = 64
+"""Number of streams that a driver reads itself before it assigns further streams to other nodes.
+The cost of reading a stream is given in docs/CAPACITY.md."""
 
-REMOTE_TIMEOUT_S = 1800.0
-"""Longest time for which another node reads one stream. Origin not recorded."""
-WATCH_S = 0.5
-"""How often each side of a stream looks whether the other is still alive. Origin not recorded."""
+REMOTE_STREAM_TIMEOUT_S = 1800.0
+"""Longest time that a driver waits for another node to read one stream."""
+LIVENESS_CHECK_INTERVAL_S = 0.5
+"""Interval at which the driver and the executor of a stream each check that the other node is still
+alive."""
 
 
 async def read_stream(
     sampler: SamplerClient, address: str, request: CompletionRequest
 ) -> CompletionOutcome:
-    """Read one stream; never raises a SamplerError, the outcome tells."""
+    """Read one stream and return its outcome.
+
+    A refused or broken stream is reported in the outcome; no SamplerError is raised.
+    """
     outcome = CompletionOutcome([], [])
     segments: list[Segment] = []
     try:
@@ -66,40 +72,47 @@
 
 
 class StreamExecutors:
-    """Runs streams here or on other nodes of the region, and runs those that others ask for."""
+    """Has streams read by this node or by other nodes of the region.
+
+    As a driver, this node calls `run`. As an executor, it answers the `RunCompletion` and
+    `CancelCompletion` messages of drivers on other nodes.
+    """
 
     def __init__(self, agent: ClusterAgent, sampler: SamplerClient) -> None:
         self._agent = agent
         self._sampler = sampler
-        self._assigned: Counter[str] = Counter()
+        self._assigned_streams: Counter[str] = Counter()
         self._running: dict[tuple[str, str], asyncio.Task[CompletionOutcome]] = {}
         agent.transport.handle(RunCompletion, self._on_run)
         agent.transport.handle(CancelCompletion, self._on_cancel)
 
-    # --- the driving node
+    # --- driver
 
     async def run(self, address: str, request: CompletionRequest) -> CompletionOutcome:
-        """Read a stream on the node that reads the fewest for this one."""
-        executor = self._choose()
+        """Read a stream on this node, or on the node with the fewest streams assigned by this one.
+
+        Other nodes are used only while this node reads `MAX_LOCAL_STREAMS` streams itself.
+        """
+        executor = self._choose_executor()
         name = executor.name if executor else self._agent.settings.name
-        self._assigned[name] += 1
+        self._assigned_streams[name] += 1
         try:
             if executor is None:
                 return await read_stream(self._sampler, address, request)
-            return await self._run_remotely(executor, address, request)
+            return await self._run_on_executor(executor, address, request)
         finally:
-            self._assigned[name] -= 1
+            self._assigned_streams[name] -= 1
 
-    def _choose(self) -> Member | None:
-        """Another node, or None to read here."""
+    def _choose_executor(self) -> Member | None:
+        """Return the node that shall read the next stream; None means this node."""
         own = self._agent.settings.name
-        if self._assigned[own] < LOCAL_STREAMS:
+        if self._assigned_streams[own] < MAX_LOCAL_STREAMS:
             return None
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
-        chosen = min(members, key=lambda m: self._assigned[m.name], default=None)
+        chosen = min(members, key=lambda m: self._assigned_streams[m.name], default=None)
         return chosen if chosen is not None and chosen.name != own else None
 
-    async def _run_remotely(
+    async def _run_on_executor(
         self, executor: Member, address: str, request: CompletionRequest
     ) -> CompletionOutcome:
         message = RunCompletion(
@@ -112,24 +125,27 @@
         )
         call = asyncio.create_task(
             self._agent.transport.call_for(
-                executor.peer_address, message, CompletionOutcome, REMOTE_TIMEOUT_S
+                executor.peer_address, message, CompletionOutcome, REMOTE_STREAM_TIMEOUT_S
             )
         )
         try:
             while not call.done():
-                await asyncio.wait([call], timeout=WATCH_S)
+                await asyncio.wait([call], timeout=LIVENESS_CHECK_INTERVAL_S)
                 if not call.done() and not self._is_alive(executor):
                     break
             if call.done():
                 return call.result()
         except PeerError:
-            pass  # logged below, as for an executor that is known to be dead
+            pass  # logged below, together with executors that are reported dead
         finally:
             if not call.done():
                 call.cancel()
-                self._agent.tasks.start(self._cancel(executor, request), "cancel stream")
-        # What the executor had read is lost; the sample goes on from what was kept before. The
-        # sampler is not to blame, so the outcome is not that the stream broke.
+                self._agent.tasks.start(
+                    self._cancel_remote_stream(executor, request), "cancel stream"
+                )
+        # The tokens that the executor had read are lost; the sample is continued from the tokens
+        # that this node kept before. The sampler did not fail, so the outcome does not say that the
+        # stream broke.
         log.info("executor lost", extra={"executor": executor.name, "request": request.request_id})
         return CompletionOutcome([], [])
 
@@ -139,7 +155,7 @@
             return False
         return member.status != MemberStatus.DEAD
 
-    async def _cancel(self, executor: Member, request: CompletionRequest) -> None:
+    async def _cancel_remote_stream(self, executor: Member, request: CompletionRequest) -> None:
         try:
             await self._agent.transport.call(
                 executor.peer_address,
@@ -149,7 +165,7 @@
         except PeerError:
             log.info("stream not cancelled", extra={"executor": executor.name})
 
-    # --- the executor
+    # --- executor
 
     async def _on_run(self, peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, RunCompletion)
@@ -165,9 +181,9 @@
         self._running[key] = task
         try:
             while not task.done():
-                await asyncio.wait([task], timeout=WATCH_S)
+                await asyncio.wait([task], timeout=LIVENESS_CHECK_INTERVAL_S)
                 if self._is_dead(peer):
-                    task.cancel()  # nobody waits for it any more
+                    task.cancel()  # the driver is dead, so no node waits for the outcome
             return task.result()
         except asyncio.CancelledError:
             return CompletionOutcome([], [], broke="cancelled")
@@ -188,5 +204,5 @@
 
     @property
     def running_for_others(self) -> int:
-        """Streams that this node reads for driving nodes."""
+        """Number of streams that this node reads for drivers on other nodes."""
         return len(self._running)
