--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -157,7 +157,7 @@
                     self._generations.get(request.index, 0),
                     lambda: self._target(self.trainer_version),
                 )
-            self._lengths.learn(request.group, len(result.tokens))
+            self._lengths.record_length(request.group, len(result.tokens))
             await self._commit(result)
         finally:
             self._generating.pop(request.index, None)
