--- a/src/crankseam/rollout/messages.py
+++ b/src/crankseam/rollout/messages.py
@@ -1,7 +1,7 @@
-"""What trainers send and get, and what is recorded of steps and samples.
+"""Messages of the trainer interface, and replicated records of steps and samples.
 
-Owns the JSON of the trainers' interface and the stored bytes of the records: field names and their
-order are both on the wire.
+This module defines the JSON documents of the trainer interface and the encoding of the stored
+records. Some types are encoded by field name and others by field order, so both must stay.
 """
 
 from __future__ import annotations
@@ -12,10 +12,12 @@
 class SampleRequest(msgspec.Struct):
     """One sample to generate.
 
-    Attributes:
-        index: position in the step, from 0.
-        group: samples of one prompt group tend to be of like length.
-        expected_tokens: the trainer's own estimate of the length; 0 if it has none.
+    Attributes
+    ==========
+
+    index : position in the step, from 0.
+    group : name of the prompt group; samples of one group tend to have similar lengths.
+    expected_tokens : the trainer's estimate of the length; 0 if it has none.
     """
 
     index: int
@@ -28,8 +30,11 @@
 class OpenStep(msgspec.Struct, forbid_unknown_fields=True):
     """A trainer's request to generate the samples of one step.
 
-    Attributes:
-        opened_at_ms: when the trainer opened the step first; the same at each repetition.
+    Attributes
+    ==========
+
+    opened_at_ms : time at which the trainer first opened the step. A trainer that opens the step
+        again must send the same value.
     """
 
     step: int
@@ -38,7 +43,7 @@
 
 
 class Segment(msgspec.Struct, array_like=True):
-    """Tokens [start, end) were made by this weight version, as the sampler reported."""
+    """Tokens [start, end) of a sample, and the weight version reported by their sampler."""
 
     version: int
     start: int
@@ -46,12 +51,14 @@
 
 
 class SampleResult(msgspec.Struct):
-    """A whole sample as it is delivered: one JSON line.
+    """A complete sample as it is delivered to the trainer, on one JSON line.
 
-    Attributes:
-        tokens: token ids, shape (length,).
-        segments: weight versions over [0, length), in order and without gaps.
-        cursor: the trainer's cursor once it has this sample.
+    Attributes
+    ==========
+
+    tokens : token ids, shape (length,).
+    segments : weight versions of the tokens [0, length), in order and without gaps.
+    cursor : the trainer's cursor after it has received this sample.
     """
 
     trainer: str
@@ -68,9 +75,11 @@
 class SampleRecord(msgspec.Struct, array_like=True):
     """The replicated record of a sample.
 
-    Attributes:
-        generation: raised each time a committed result was dropped as too old.
-        result: encoded SampleResult; None once dropped.
+    Attributes
+    ==========
+
+    generation : incremented each time a committed result is dropped because it is too old.
+    result : the encoded SampleResult; None after it was dropped.
     """
 
     generation: int
@@ -78,25 +87,32 @@
 
 
 class StepRecord(msgspec.Struct, array_like=True):
-    """The replicated record of a step: which node generates its samples."""
+    """The replicated record of a step, which names its driver.
+
+    Attributes
+    ==========
+
+    driver : identity of the node that generates the samples of the step.
+    term : incremented each time another node becomes the driver.
+    """
 
     driver: str
     term: int
 
 
 class Acknowledge(msgspec.Struct, forbid_unknown_fields=True):
-    """A trainer has these samples for good and needs no further delivery of them."""
+    """States that the trainer has stored these samples and does not need them delivered again."""
 
     cursor: str
 
 
 def oldest_version(segments: list[Segment]) -> int:
-    """The oldest weight version that made any token of a sample."""
+    """Return the oldest weight version that generated any token of a sample."""
     return min(segment.version for segment in segments)
 
 
 def append_tokens(segments: list[Segment], version: int, start: int, count: int) -> None:
-    """Extend the segments by `count` tokens that `version` made from position `start`."""
+    """Extend the segments by `count` tokens that `version` generated, from position `start` on."""
     if count == 0:
         return
     if segments and segments[-1].version == version:
