--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -151,7 +151,7 @@
 
     async def _make_sample(self, request: SampleRequest) -> None:
         try:
-            async with self._scheduler.place(self._queue_position(request)):
+            async with self._scheduler.hold_slot(self._queue_position(request)):
                 result = await self._generator.generate(
                     SampleJob(self.opening.step, request),
                     self._generations.get(request.index, 0),
