--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -24,7 +24,7 @@
 from crankseam.rollout.messages import Acknowledge, OpenStep
 from crankseam.rollout.sample_records import STEP_RETENTION_MS, SampleRecords
 from crankseam.rollout.scheduler import PoolScheduler
-from crankseam.rollout.step_rules import is_far_enough
+from crankseam.rollout.step_rules import allows_next_step
 from crankseam.rollout.step_run import StepRun
 
 log = logging.getLogger(__name__)
@@ -152,7 +152,7 @@
             if name != trainer_name or earlier >= step or run.superseded:
                 continue
             samples = len(run.opening.samples)
-            if not is_far_enough(run.remaining(), samples, trainer.idle_weight):
+            if not allows_next_step(run.remaining(), samples, trainer.idle_weight):
                 return False
         return True
 
--- a/tests/rollout/test_step_rules.py
+++ b/tests/rollout/test_step_rules.py
@@ -1,7 +1,7 @@
-"""When a step's samples start, and in which order."""
+"""Tests when the samples of a step may start, and in which order."""
 
 from crankseam.config.kinds import Trainer
-from crankseam.rollout.step_rules import is_far_enough, queue_position
+from crankseam.rollout.step_rules import allows_next_step, queue_position
 
 LONGEST_FIRST = Trainer(kind="Trainer", name="t", pool="p", staleness_bound=1)
 AS_GIVEN = LONGEST_FIRST.model_copy(update={"sample_order": "as_given"})
@@ -27,7 +27,7 @@
 
 
 def test_the_next_step_starts_once_no_more_than_the_share_is_missing():
-    assert is_far_enough(missing=6, samples=12, idle_weight=0.5)
-    assert not is_far_enough(missing=7, samples=12, idle_weight=0.5)
-    assert is_far_enough(missing=12, samples=12, idle_weight=1.0)
-    assert not is_far_enough(missing=1, samples=12, idle_weight=0.0)
+    assert allows_next_step(missing=6, samples=12, idle_weight=0.5)
+    assert not allows_next_step(missing=7, samples=12, idle_weight=0.5)
+    assert allows_next_step(missing=12, samples=12, idle_weight=1.0)
+    assert not allows_next_step(missing=1, samples=12, idle_weight=0.0)
