--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -1,13 +1,13 @@
-"""Generates one sample, going on elsewhere with the tokens it has when a sampler breaks off.
+"""Generates one sample; if a stream breaks, another sampler continues from the tokens received.
 
-Owns the partial sample. Relies on the router for the sampler with the least load within the
-staleness bound, on the pool's limit, the quarantine and `may_send` for whether one may be asked
-now, and on the sampler's own report for the version of each token.
+This module keeps the partial sample. The router selects the sampler with the least load within the
+staleness bound. The pool's limit, the quarantine and `may_send` decide whether a request may be
+sent now. The weight version of each token is the one that the sampler reports.
 
-`jobs/item_run` does this on the users' platform, and differs by intent: there a place at a sampler
-is assigned before the run and kept, runs may be moved to a faster sampler, results have deadlines,
-and an item is given up after its route's attempts. A sample is made until it is whole or its step
-is over.
+`jobs/item_run` does the same on the users' platform, with intended differences: there, an item is
+assigned a slot at a sampler before the run and keeps it, a run may be moved to a faster sampler,
+results have deadlines, and an item fails after the number of attempts that its route allows. A
+sample, in contrast, is retried until it is complete or its step has ended.
 """
 
 from __future__ import annotations
@@ -41,19 +41,20 @@
 
 log = logging.getLogger(__name__)
 
-REASON = "least load within the staleness bound"
-WAIT_BASE_S = 0.02
-"""Shortest pause before a sampler is looked for again, and upper bound of what chance adds to the
-first one. Origin not recorded."""
-WAIT_CAP_S = 0.1
-"""Upper bound of what chance adds to any pause. Origin not recorded."""
+SELECTION_REASON = "least load within the staleness bound"
+RETRY_BASE_DELAY_S = 0.02
+"""Minimum delay before a sampler is selected again, and upper bound of the random jitter that is
+added to the first delay."""
+RETRY_MAX_JITTER_S = 0.1
+"""Upper bound of the random jitter that is added to any delay."""
 
 
 @dataclass
 class SampleJob:
-    """A sample on its way: what was asked for, and the tokens so far with their versions.
+    """State of a sample under generation: its request, its tokens so far and their versions.
 
-    Earlier steps run first at a sampler, so the step is also the priority.
+    The number of the step is also the priority at the sampler, so that samples of earlier steps run
+    first.
     """
 
     step: int
@@ -61,14 +62,14 @@
     tokens: list[int] = field(default_factory=list)
     segments: list[Segment] = field(default_factory=list)
     samplers: list[str] = field(default_factory=list)
-    is_whole: bool = False
+    is_complete: bool = False
 
     def name(self, trainer: str) -> str:
-        """`trainer/step/index`, unique and the same for each attempt."""
+        """Return `trainer/step/index`, which is unique and the same for each attempt."""
         return f"{trainer}/{self.step}/{self.request.index}"
 
-    def add(self, sampler: str, outcome: CompletionOutcome) -> None:
-        """Take the tokens of one more stream, which went on from what is here."""
+    def add_outcome(self, sampler: str, outcome: CompletionOutcome) -> None:
+        """Append the tokens of a stream that continued from the tokens so far."""
         self.samplers.append(sampler)
         for version, start, end in outcome.segments:
             if end > start:
@@ -77,20 +78,20 @@
                 self.segments.append(Segment(version, 0, 0))
         self.tokens.extend(outcome.tokens)
         ended = outcome.finished and not outcome.cut_by_bound
-        self.is_whole = ended or len(self.tokens) >= self.request.max_tokens
+        self.is_complete = ended or len(self.tokens) >= self.request.max_tokens
 
     def oldest_version(self) -> float:
-        """The oldest version that made a token so far; infinite before the first."""
+        """Return the oldest version that generated a token so far; infinity if there is none."""
         return oldest_version(self.segments) if self.segments else float("inf")
 
-    def start_again(self) -> None:
-        """Start from the prompt again."""
+    def restart(self) -> None:
+        """Discard all tokens, so that the next attempt starts from the prompt."""
         self.tokens.clear()
         self.segments.clear()
         self.samplers.clear()
 
     def result(self, trainer: str, generation: int, decision_id: str) -> SampleResult:
-        """The whole sample as it is committed."""
+        """Return the complete sample in the form in which it is committed."""
         return SampleResult(
             trainer=trainer,
             step=self.step,
@@ -103,39 +104,57 @@
         )
 
 
-def _subject(job: SampleJob, wanted: GenerationTarget) -> TrialSubject:
-    """What a sampler is asked for; samples of one prompt are alike."""
+def _make_trial_subject(job: SampleJob, generation_target: GenerationTarget) -> TrialSubject:
+    """Return the quarantine's subject of a sample.
+
+    Samples with the same prompt and `max_tokens` get the same fingerprint.
+    """
     prompt = f"{job.request.max_tokens} {job.request.prompt}".encode()
-    name = job.name(wanted.trainer.name)
-    return TrialSubject(name, NO_TENANT, wanted.pool.name, "POST", wanted.pool.name, "", prompt)
+    name = job.name(generation_target.trainer.name)
+    return TrialSubject(
+        name,
+        NO_TENANT,
+        generation_target.pool.name,
+        "POST",
+        generation_target.pool.name,
+        "",
+        prompt,
+    )
 
 
 @dataclass(frozen=True)
 class GenerationTarget:
-    """What a sample is generated for, as the configuration and the trainer say now."""
+    """Trainer, pool and versions for which a sample is generated, as currently known.
+
+    Attributes
+    ==========
+
+    trainer_version : version that the trainer will have when it trains on the sample.
+    revision : revision of the configuration that `trainer`, `pool` and `limit` come from.
+    """
 
     trainer: Trainer
     pool: SamplerPool
     trainer_version: int
     revision: int
     limit: Limit | None = None
-    """The limit that bounds the pool, if any."""
+    """Limit on the requests in flight at the pool; None if there is none."""
 
     @property
     def oldest_allowed(self) -> int:
-        """The oldest weight version that may make a token."""
+        """The oldest weight version that may generate a token of the sample."""
         return self.trainer_version - self.trainer.staleness_bound
 
 
-def _version_rule(wanted: GenerationTarget) -> Callable[[Candidate], str | None]:
-    """Refuses samplers that serve a version older than what may make a token."""
+def _make_version_filter(generation_target: GenerationTarget) -> Callable[[Candidate], str | None]:
+    """Return a filter for the router that refuses samplers with a version that is too old."""
 
-    def refuse(candidate: Candidate) -> str | None:
-        if 0 <= candidate.version < wanted.oldest_allowed:
-            return f"version {candidate.version} is older than {wanted.oldest_allowed}"
+    def refusal_reason(candidate: Candidate) -> str | None:
+        if 0 <= candidate.version < generation_target.oldest_allowed:
+            return f"version {candidate.version} is older than {generation_target.oldest_allowed}"
         return None
 
-    return refuse
+    return refusal_reason
 
 
 class SampleGenerator:
@@ -162,114 +181,123 @@
     async def generate(
         self, job: SampleJob, generation: int, target: Callable[[], GenerationTarget]
     ) -> SampleResult:
-        """Generate until whole.
+        """Generate a sample until it is complete, and return its result.
+
+        Parameters
+        ==========
 
-        Args:
-            target: asked anew for each attempt, since versions and configuration move on.
+        target : returns the current target. It is called for each attempt, because versions and
+            configuration may change between attempts.
         """
-        wanted = target()
-        trial = Trial(self._quarantine, _subject(job, wanted), wanted.pool.crash_limit)
+        generation_target = target()
+        trial = Trial(
+            self._quarantine,
+            _make_trial_subject(job, generation_target),
+            generation_target.pool.crash_limit,
+        )
         try:
-            return await self._attempt_until_whole(job, generation, target, trial)
+            return await self._attempt_until_complete(job, generation, target, trial)
         finally:
             trial.abandon()
 
-    async def _attempt_until_whole(
+    async def _attempt_until_complete(
         self,
         job: SampleJob,
         generation: int,
         target: Callable[[], GenerationTarget],
         trial: Trial,
     ) -> SampleResult:
-        backoff = Backoff(WAIT_BASE_S, WAIT_CAP_S)
+        backoff = Backoff(RETRY_BASE_DELAY_S, RETRY_MAX_JITTER_S)
         while True:
             await trial.wait_admitted()
-            wanted = target()
-            decision = await self._attempt_within_limit(job, wanted, trial)
+            generation_target = target()
+            decision = await self._attempt_within_limit(job, generation_target, trial)
             if decision is None:
-                await asyncio.sleep(WAIT_BASE_S + backoff.next_delay())
+                await asyncio.sleep(RETRY_BASE_DELAY_S + backoff.next_delay())
                 continue
             backoff.reset()
-            if job.is_whole:
-                return job.result(wanted.trainer.name, generation, decision.decision_id)
+            if job.is_complete:
+                return job.result(generation_target.trainer.name, generation, decision.decision_id)
 
     async def _attempt_within_limit(
-        self, job: SampleJob, wanted: GenerationTarget, trial: Trial
+        self, job: SampleJob, generation_target: GenerationTarget, trial: Trial
     ) -> Decision | None:
-        """One attempt, if the pool's limit has room; None if nothing could be started."""
-        if wanted.limit is None:
-            return await self._choose_and_attempt(job, wanted, trial)
-        if not await self._shares.acquire(wanted.limit):
+        """Make one attempt if the pool's limit permits; return None if none was started."""
+        if generation_target.limit is None:
+            return await self._choose_and_attempt(job, generation_target, trial)
+        if not await self._shares.acquire(generation_target.limit):
             return None
         try:
-            return await self._choose_and_attempt(job, wanted, trial)
+            return await self._choose_and_attempt(job, generation_target, trial)
         finally:
-            self._shares.share_of(wanted.limit).release()
+            self._shares.share_of(generation_target.limit).release()
 
     async def _choose_and_attempt(
-        self, job: SampleJob, wanted: GenerationTarget, trial: Trial
+        self, job: SampleJob, generation_target: GenerationTarget, trial: Trial
     ) -> Decision | None:
         if not self._may_send():
             return None
-        if job.oldest_version() < wanted.oldest_allowed:
-            job.start_again()  # carried on, it could not be delivered
-        decision = self._choose(job, wanted)
+        if job.oldest_version() < generation_target.oldest_allowed:
+            job.restart()  # the tokens so far are too old: the sample could not be delivered
+        decision = self._make_decision(job, generation_target)
         if decision.choice is None:
             return None
-        sampler = next(s for s in wanted.pool.samplers if s.name == decision.choice)
+        sampler = next(s for s in generation_target.pool.samplers if s.name == decision.choice)
         if not await self._probe.may_get_work(sampler):
-            self._router.fail_connection(f"{wanted.pool.name}/{sampler.name}")
+            self._router.fail_connection(f"{generation_target.pool.name}/{sampler.name}")
             return None
         self._decisions.record(decision)
         tokens_before = len(job.tokens)
         with trial.sending() as send:
-            await self._attempt(job, sampler, wanted, send)
+            await self._attempt(job, sampler, generation_target, send)
         if len(job.tokens) > tokens_before:
             trial.progressed()
         trial.report_if_held()
         return decision
 
-    def has_eligible(self, wanted: GenerationTarget) -> bool:
-        """Whether any sampler could take a sample now, were it not full."""
-        pool = wanted.pool
-        choice = self._router.choose(pool.name, pool.samplers, _version_rule(wanted))
+    def has_eligible_sampler(self, generation_target: GenerationTarget) -> bool:
+        """Whether any sampler is eligible for a sample now, regardless of free capacity."""
+        pool = generation_target.pool
+        choice = self._router.choose(
+            pool.name, pool.samplers, _make_version_filter(generation_target)
+        )
         return choice.back_end is not None
 
-    def _choose(self, job: SampleJob, wanted: GenerationTarget) -> Decision:
-        choice = self._choose_sampler(wanted)
+    def _make_decision(self, job: SampleJob, generation_target: GenerationTarget) -> Decision:
+        choice = self._choose_sampler(generation_target)
         return Decision(
             decision_id=self._decisions.new_id(),
             kind="sample",
-            subject=job.name(wanted.trainer.name),
+            subject=job.name(generation_target.trainer.name),
             node=self._decisions.node,
-            revision=wanted.revision,
+            revision=generation_target.revision,
             at="",
-            reason=REASON,
+            reason=SELECTION_REASON,
             choice=choice.back_end.name if choice.back_end else None,
             candidates=choice.candidates,
         )
 
-    def _choose_sampler(self, wanted: GenerationTarget) -> Choice:
-        pool = wanted.pool
-        version_rule = _version_rule(wanted)
+    def _choose_sampler(self, generation_target: GenerationTarget) -> Choice:
+        pool = generation_target.pool
+        version_filter = _make_version_filter(generation_target)
 
         def eligible(candidate: Candidate) -> str | None:
             in_flight = self._router.view(f"{pool.name}/{candidate.name}").in_flight
             if in_flight >= pool.max_running_per_sampler:
                 return f"full: {in_flight} running"
-            return version_rule(candidate)
+            return version_filter(candidate)
 
         if pool.routing == "round_robin":
             return self._router.take_turns(pool.name, pool.samplers, eligible)
         return self._router.choose(pool.name, pool.samplers, eligible)
 
     async def _attempt(
-        self, job: SampleJob, sampler: BackEnd, wanted: GenerationTarget, send: Send
+        self, job: SampleJob, sampler: BackEnd, generation_target: GenerationTarget, send: Send
     ) -> None:
-        """Generate on one sampler until it ends or breaks off; the job keeps what came."""
-        target = f"{wanted.pool.name}/{sampler.name}"
+        """Generate on one sampler until its stream ends or breaks; add the tokens to the job."""
+        target = f"{generation_target.pool.name}/{sampler.name}"
         completion = CompletionRequest(
-            request_id=job.name(wanted.trainer.name),
+            request_id=job.name(generation_target.trainer.name),
             prompt=job.request.prompt,
             max_tokens=job.request.max_tokens - len(job.tokens),
             prior_tokens=list(job.tokens),
@@ -288,4 +316,4 @@
         if outcome.broke:
             log.info("sample broke off", extra={"sampler": sampler.name, "error": outcome.broke})
         if not outcome.refused:
-            job.add(sampler.name, outcome)
+            job.add_outcome(sampler.name, outcome)
--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -103,7 +103,7 @@
         """Start the samples once steps before this one and the staleness bound allow it."""
         while True:
             target = self._target(self.trainer_version)
-            if self._may_begin() and self._generator.has_eligible(target):
+            if self._may_begin() and self._generator.has_eligible_sampler(target):
                 break
             await asyncio.sleep(BEGIN_POLL_S)
         for index in self._requests:
--- a/tests/rollout/test_generation.py
+++ b/tests/rollout/test_generation.py
@@ -1,4 +1,4 @@
-"""A sample under which samplers end is held back; one that goes on is not."""
+"""A sample during which samplers crash repeatedly is held back, unless it received new tokens."""
 
 import asyncio
 import random
@@ -26,11 +26,11 @@
     ],
 )
 TRAINER = Trainer(kind="Trainer", name="trainer", pool="pool", staleness_bound=1)
-ENDS = CompletionOutcome([], [], broke="connection lost")
+CRASH = CompletionOutcome([], [], broke="connection lost")
 
 
 class ScriptedExecutors:
-    """Each run takes the next outcome; afterwards samples are made whole."""
+    """Returns the given outcomes in turn; after the last one, each run completes its sample."""
 
     def __init__(self, outcomes):
         self.outcomes = list(outcomes)
@@ -40,8 +40,8 @@
         self.runs += 1
         if self.outcomes:
             return self.outcomes.pop(0)
-        left = completion.max_tokens
-        return CompletionOutcome([1] * left, [(1, 0, left)], finished=True)
+        remaining = completion.max_tokens
+        return CompletionOutcome([1] * remaining, [(1, 0, remaining)], finished=True)
 
 
 class Decisions:
@@ -67,9 +67,9 @@
     monkeypatch.setattr(generation, "refuses_connections", refuses)
     monkeypatch.setattr("crankseam.routing.CONNECTION_FAILURE_S", 0.0)
     monkeypatch.setattr(holding, "PROBE_RETRY_S", 0.02)
-    made = await Process(MemoryStore()).ready()
-    yield made
-    await made.stop()
+    quarantine_process = await Process(MemoryStore()).ready()
+    yield quarantine_process
+    await quarantine_process.stop()
 
 
 async def generate(process, executors):
@@ -84,7 +84,7 @@
 
 async def test_three_ends_without_a_token_hold_it_until_a_probe(process, monkeypatch):
     monkeypatch.setattr(holding, "FIRST_HOLD_S", 0.3)
-    executors = ScriptedExecutors([ENDS] * 3)
+    executors = ScriptedExecutors([CRASH] * 3)
     running = asyncio.create_task(generate(process, executors))
     await asyncio.sleep(0.2)
     assert executors.runs == 3 and process.table.held_count() == 1
@@ -94,8 +94,8 @@
 
 
 async def test_a_sample_that_made_tokens_in_between_is_no_suspect(process):
-    made = CompletionOutcome([1], [(1, 0, 1)], broke="connection lost")
-    executors = ScriptedExecutors([ENDS, ENDS, made, ENDS, ENDS])
+    tokens_then_crash = CompletionOutcome([1], [(1, 0, 1)], broke="connection lost")
+    executors = ScriptedExecutors([CRASH, CRASH, tokens_then_crash, CRASH, CRASH])
     async with asyncio.timeout(10):
         result = await generate(process, executors)
     assert len(result.tokens) == 4 and not len(process.table)
