--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -1,8 +1,8 @@
-"""The steps that this node drives, and the HTTP interface for trainers.
+"""Manages the steps that this node drives, and serves the HTTP interface for trainers.
 
-Owns the runs of steps on this node and the queue before each pool. Relies on the configuration
-lease for whether this node may take new work, and on the trainer, who opens a step again on another
-node when this one is gone.
+The service keeps the runs of steps on this node and one scheduler for each pool. This node accepts
+requests only while it holds the configuration lease. If the node fails, the trainer has to open its
+steps again on another node.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 log = logging.getLogger(__name__)
 
 MAX_SAMPLES_PER_STEP = 16_384
-"""Bounds a node's memory and the trainer's cursor. Origin not recorded."""
-STEP_AGE_MARGIN_MS = 60_000
-"""Trainers' clocks may run ahead by this much. Origin not recorded."""
-JSON_LINES = "application/x-ndjson"
+"""Limits the memory that a step needs on a node and the size of the trainer's cursor."""
+MAX_TRAINER_CLOCK_SKEW_MS = 60_000
+"""Maximum time by which a trainer's clock may be ahead of the clock of this node."""
+JSON_LINES_CONTENT_TYPE = "application/x-ndjson"
 
 
 class RolloutService:
-    """Opens steps, streams their samples and takes acknowledgements."""
+    """Opens steps, streams their samples and receives the trainers' acknowledgements."""
 
     def __init__(self, agent: ClusterAgent, generator: SampleGenerator) -> None:
         self._agent = agent
@@ -49,32 +49,40 @@
         self.draining = False
 
     def add_routes(self, app: web.Application) -> None:
-        """Register the trainers' paths."""
+        """Register the HTTP routes of the trainer interface."""
         app.router.add_post("/trainers/{trainer}/steps", self.handle_open)
         app.router.add_get("/trainers/{trainer}/steps/{step}/samples", self.handle_stream)
         app.router.add_post("/trainers/{trainer}/steps/{step}/ack", self.handle_acknowledge)
 
     async def close(self) -> None:
-        """Stop all steps; another node takes them over when their trainers come back."""
+        """Stop all steps; another node takes a step over when its trainer opens the step there."""
         for run in self._runs.values():
             await run.stop()
 
-    # --- opening
+    # --- opening of steps
 
     async def handle_open(self, request: web.Request) -> web.Response:
-        """POST: open a step, or open it again on this node. The body is an `OpenStep`."""
+        """POST: open a step on this node, for the first time or again. The body is an `OpenStep`.
+
+        The query contains `version`, the weight version that the trainer will have when it trains
+        on the step, and optionally `after`, the trainer's cursor.
+        """
         trainer = self._require_trainer(request)
         version = self._read_version(request)
         received = self._read_cursor(request)
         try:
-            opening = msgspec.json.decode(await request.read(), type=OpenStep)
+            open_step = msgspec.json.decode(await request.read(), type=OpenStep)
         except msgspec.DecodeError as error:
             raise BadRequest(f"step: {error}", OUTCOME_NOT_RUN)
-        self._check_opening(opening)
-        run = self._runs.get((trainer.name, opening.step))
+        self._validate_open_step(open_step)
+        run = self._runs.get((trainer.name, open_step.step))
         if run is None or run.superseded:
-            run = await self._start(trainer, opening, version, received)
-        body = {"step": opening.step, "samples": len(opening.samples), "missing": run.remaining()}
+            run = await self._start(trainer, open_step, version, received)
+        body = {
+            "step": open_step.step,
+            "samples": len(open_step.samples),
+            "missing": run.remaining(),
+        }
         return web.json_response(body)
 
     def _require_trainer(self, request: web.Request) -> Trainer:
@@ -105,38 +113,38 @@
             raise BadRequest(f"after: {error}", OUTCOME_NOT_RUN)
 
     @staticmethod
-    def _check_opening(opening: OpenStep) -> None:
-        if not 0 < len(opening.samples) <= MAX_SAMPLES_PER_STEP:
+    def _validate_open_step(open_step: OpenStep) -> None:
+        if not 0 < len(open_step.samples) <= MAX_SAMPLES_PER_STEP:
             raise BadRequest(f"samples: 1 to {MAX_SAMPLES_PER_STEP}", OUTCOME_NOT_RUN)
-        if [sample.index for sample in opening.samples] != list(range(len(opening.samples))):
+        if [sample.index for sample in open_step.samples] != list(range(len(open_step.samples))):
             raise BadRequest("samples: indices from 0 without gaps", OUTCOME_NOT_RUN)
-        age_ms = clocks.wall_ms() - opening.opened_at_ms
-        if age_ms > STEP_RETENTION_MS or age_ms < -STEP_AGE_MARGIN_MS:
+        age_ms = clocks.wall_ms() - open_step.opened_at_ms
+        if age_ms > STEP_RETENTION_MS or age_ms < -MAX_TRAINER_CLOCK_SKEW_MS:
             raise BadRequest("opened_at_ms: a time within the retention", OUTCOME_NOT_RUN)
 
     async def _start(
-        self, trainer: Trainer, opening: OpenStep, version: int, received: set[int]
+        self, trainer: Trainer, open_step: OpenStep, version: int, received: set[int]
     ) -> StepRun:
-        records = SampleRecords(self._agent, trainer.name, opening.step, opening.opened_at_ms)
+        records = SampleRecords(self._agent, trainer.name, open_step.step, open_step.opened_at_ms)
         run = StepRun(
-            opening,
+            open_step,
             records,
             self._generator,
             self._lengths,
-            self._scheduler(trainer.pool),
-            lambda trainer_version: self._target(trainer.name, trainer_version),
-            lambda: self._may_begin(trainer.name, opening.step),
+            self._scheduler_for(trainer.pool),
+            lambda trainer_version: self._generation_target(trainer.name, trainer_version),
+            lambda: self._may_start(trainer.name, open_step.step),
         )
-        self._runs[trainer.name, opening.step] = run
+        self._runs[trainer.name, open_step.step] = run
         try:
             await run.start(version, received)
         except RecordError as error:
-            del self._runs[trainer.name, opening.step]
+            del self._runs[trainer.name, open_step.step]
             await run.stop()
             raise Unavailable(f"step not recorded: {error}", OUTCOME_UNKNOWN, retry_after.RECORD_S)
         return run
 
-    def _scheduler(self, pool_name: str) -> PoolScheduler:
+    def _scheduler_for(self, pool_name: str) -> PoolScheduler:
         def capacity() -> int:
             pool = self._agent.lease.snapshot.pools[pool_name]
             return len(pool.samplers) * pool.max_running_per_sampler
@@ -145,25 +153,25 @@
             self._schedulers[pool_name] = PoolScheduler(capacity)
         return self._schedulers[pool_name]
 
-    def _may_begin(self, trainer_name: str, step: int) -> bool:
-        """Whether no more is missing of the steps before than the trainer's weighing allows."""
+    def _may_start(self, trainer_name: str, step: int) -> bool:
+        """Whether all earlier steps of the trainer on this node allow this step to start."""
         trainer = self._agent.lease.snapshot.trainers[trainer_name]
         for (name, earlier), run in self._runs.items():
             if name != trainer_name or earlier >= step or run.superseded:
                 continue
-            samples = len(run.opening.samples)
+            samples = len(run.open_step.samples)
             if not allows_next_step(run.remaining(), samples, trainer.idle_weight):
                 return False
         return True
 
-    def _target(self, trainer_name: str, trainer_version: int) -> GenerationTarget:
+    def _generation_target(self, trainer_name: str, trainer_version: int) -> GenerationTarget:
         snapshot = self._agent.lease.snapshot
         trainer = snapshot.trainers[trainer_name]
         pool = snapshot.pools[trainer.pool]
         limit = snapshot.limit_for(pool.name)
         return GenerationTarget(trainer, pool, trainer_version, snapshot.revision, limit)
 
-    # --- streaming
+    # --- streams and acknowledgements
 
     def _require_run(self, request: web.Request) -> StepRun:
         trainer = self._require_trainer(request)
@@ -174,11 +182,14 @@
         return run
 
     async def handle_stream(self, request: web.Request) -> web.StreamResponse:
-        """GET `?after=CURSOR&version=N`: the samples after the cursor, one JSON line each."""
+        """GET `?after=CURSOR&version=N`: stream the samples that are not in the cursor.
+
+        Each sample is one JSON line.
+        """
         run = self._require_run(request)
         version = self._read_version(request)
         received = self._read_cursor(request)
-        response = web.StreamResponse(headers={"Content-Type": JSON_LINES})
+        response = web.StreamResponse(headers={"Content-Type": JSON_LINES_CONTENT_TYPE})
         await response.prepare(request)
         self.streams += 1
         try:
@@ -186,13 +197,13 @@
                 await response.write(msgspec.json.encode(result) + b"\n")
             await response.write_eof()
         except ConnectionError:
-            log.info("trainer left its stream", extra={"step": run.opening.step})
+            log.info("trainer left its stream", extra={"step": run.open_step.step})
         finally:
             self.streams -= 1
         return response
 
     async def handle_acknowledge(self, request: web.Request) -> web.Response:
-        """POST: the trainer has these samples for good. The body is an `Acknowledge`."""
+        """POST: the trainer has stored these samples. The body is an `Acknowledge`."""
         run = self._require_run(request)
         try:
             body = msgspec.json.decode(await request.read(), type=Acknowledge)
@@ -200,7 +211,7 @@
         except (msgspec.DecodeError, ValueError) as error:
             raise BadRequest(f"acknowledgement: {error}", OUTCOME_NOT_RUN)
         if run.acknowledge(received):
-            key = (request.match_info["trainer"], run.opening.step)
+            key = (request.match_info["trainer"], run.open_step.step)
             self._runs.pop(key, None)
             await run.stop()
         return web.json_response({"missing": run.remaining()})
--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -1,9 +1,9 @@
-"""One step on the node that drives it: generates what is missing, commits, and delivers.
+"""Runs one step on its driver: generates the missing samples, commits them, and delivers them.
 
-Owns what this node knows of the step: committed results, what the trainer has, what is being made.
-Relies on `sample_records` for agreement (the first whole result committed wins, whoever made it),
-on `step_rules` and the scheduler for when a sample runs, and on the trainer's cursor for what to
-deliver.
+A `StepRun` keeps this node's view of the step: the committed results, the samples that the trainer
+has, and the samples under generation. `sample_records` makes the nodes agree on each result: the
+first complete result that is committed is kept, whichever node generated it. `step_rules` and the
+scheduler determine when a sample runs. The trainer's cursor determines which samples are delivered.
 """
 
 from __future__ import annotations
@@ -33,42 +33,45 @@
 
 log = logging.getLogger(__name__)
 
-DRIVER_CHECK_S = 1.0
-"""How often a driver looks whether another node took the step over. Nothing correct depends on it.
-Origin not recorded."""
-BEGIN_POLL_S = 0.02
-"""How often a step looks whether it may start. Origin not recorded."""
-READ_CONCURRENCY = 64
-"""Records that are read at a time when a step is taken over. Origin not recorded."""
-COMMIT_RETRY_BASE_S = 0.05
-"""Shortest pause after a failed commit, and upper bound of what chance adds to the first one.
-Origin not recorded."""
-COMMIT_RETRY_CAP_S = 1.0
-"""Upper bound of what chance adds to any pause. Origin not recorded."""
+DRIVER_CHECK_INTERVAL_S = 1.0
+"""Interval at which a driver checks whether another node took over the step. Correctness does not
+depend on it."""
+START_POLL_INTERVAL_S = 0.02
+"""Interval at which a step checks whether its samples may start."""
+MAX_CONCURRENT_RECORD_READS = 64
+"""Maximum number of records that are read concurrently when this node takes over a step."""
+RECORD_RETRY_BASE_DELAY_S = 0.05
+"""Minimum delay after a failed change of a sample's record, and upper bound of the random jitter
+that is added to the first delay."""
+RECORD_RETRY_MAX_JITTER_S = 1.0
+"""Upper bound of the random jitter that is added to any delay."""
 
 
 class StepRun:
     """Drives one step.
 
-    Args:
-        opening: what the trainer asked for.
-        scheduler: the queue before the pool's samplers, shared by all steps on this node.
-        target: trainer, pool and versions as they stand now, for the version that the trainer
-            will have when it trains on this step.
-        may_begin: whether the steps before this one are far enough.
+    Parameters
+    ==========
+
+    open_step : the trainer's request to open the step.
+    scheduler : grants the slots at the pool's samplers; shared by all steps of the pool on this
+        node.
+    target : returns the current trainer, pool and versions; its argument is the version that the
+        trainer will have when it trains on this step.
+    may_start : whether the earlier steps lack few enough samples for this step to start.
     """
 
     def __init__(
         self,
-        opening: OpenStep,
+        open_step: OpenStep,
         records: SampleRecords,
         generator: SampleGenerator,
         lengths: LengthEstimator,
         scheduler: PoolScheduler,
         target: Callable[[int], GenerationTarget],
-        may_begin: Callable[[], bool],
+        may_start: Callable[[], bool],
     ) -> None:
-        self.opening = opening
+        self.open_step = open_step
         self.trainer_version = 0
         self.superseded = False
         self._records = records
@@ -76,8 +79,8 @@
         self._lengths = lengths
         self._scheduler = scheduler
         self._target = target
-        self._may_begin = may_begin
-        self._requests = {sample.index: sample for sample in opening.samples}
+        self._may_start = may_start
+        self._requests = {sample.index: sample for sample in open_step.samples}
         self._generations: dict[int, int] = {}
         self._committed: dict[int, SampleResult] = {}
         self._acknowledged: set[int] = set()
@@ -86,54 +89,61 @@
         self._tasks = TaskGroupOwner()
         self.dropped_stale = 0
 
-    # --- life
+    # --- start and stop
 
     async def start(self, trainer_version: int, received: set[int]) -> None:
-        """Become the step's driver and generate every sample that is neither received nor
-        committed. Raises RecordError."""
+        """Become the driver of the step and generate its missing samples.
+
+        A sample is missing if the trainer has not received it and no result is committed.
+
+        Raises
+        ======
+
+        RecordError : a record of the step could not be read or changed.
+        """
         self.trainer_version = trainer_version
         self._acknowledged |= received
         step = await self._records.become_driver()
         if step.term > 1:
             await self._read_committed()
-        self._tasks.start(self._begin(), "step begin")
+        self._tasks.start(self._start_when_allowed(), "step begin")
         self._tasks.start(self._watch_driver(), "step driver")
 
-    async def _begin(self) -> None:
-        """Start the samples once steps before this one and the staleness bound allow it."""
+    async def _start_when_allowed(self) -> None:
+        """Start the samples as soon as the earlier steps and the staleness bound allow it."""
         while True:
             target = self._target(self.trainer_version)
-            if self._may_begin() and self._generator.has_eligible_sampler(target):
+            if self._may_start() and self._generator.has_eligible_sampler(target):
                 break
-            await asyncio.sleep(BEGIN_POLL_S)
+            await asyncio.sleep(START_POLL_INTERVAL_S)
         for index in self._requests:
             if index not in self._acknowledged and index not in self._committed:
                 self._start_sample(self._requests[index])
 
     async def stop(self) -> None:
-        """Stop generating; what is committed stays."""
+        """Stop generating; committed results stay committed."""
         await self._tasks.stop()
 
     async def _read_committed(self) -> None:
-        gate = asyncio.Semaphore(READ_CONCURRENCY)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_RECORD_READS)
 
         async def read(index: int) -> None:
-            async with gate:
+            async with semaphore:
                 record = await self._records.read(index)
             if record is not None:
-                self._take(index, record)
+                self._apply_record(index, record)
 
         await asyncio.gather(*(read(i) for i in self._requests if i not in self._acknowledged))
 
     async def _watch_driver(self) -> None:
         while True:
-            await asyncio.sleep(DRIVER_CHECK_S)
+            await asyncio.sleep(DRIVER_CHECK_INTERVAL_S)
             try:
                 is_driver = await self._records.is_driver()
             except RecordError:
-                continue  # not known now; nothing correct depends on there being one driver
+                continue  # unknown for now; correctness does not depend on a single driver
             if not is_driver:
-                log.info("step taken over by another node", extra={"step": self.opening.step})
+                log.info("step taken over by another node", extra={"step": self.open_step.step})
                 self.superseded = True
                 async with self._changed:
                     self._changed.notify_all()
@@ -141,19 +151,19 @@
                     task.cancel()
                 return
 
-    # --- generating
+    # --- generation
 
     def _start_sample(self, request: SampleRequest) -> None:
         if request.index in self._generating:
             return
-        name = f"sample {self.opening.step}/{request.index}"
-        self._generating[request.index] = self._tasks.start(self._make_sample(request), name)
+        name = f"sample {self.open_step.step}/{request.index}"
+        self._generating[request.index] = self._tasks.start(self._generate_sample(request), name)
 
-    async def _make_sample(self, request: SampleRequest) -> None:
+    async def _generate_sample(self, request: SampleRequest) -> None:
         try:
             async with self._scheduler.hold_slot(self._queue_position(request)):
                 result = await self._generator.generate(
-                    SampleJob(self.opening.step, request),
+                    SampleJob(self.open_step.step, request),
                     self._generations.get(request.index, 0),
                     lambda: self._target(self.trainer_version),
                 )
@@ -165,48 +175,48 @@
     def _queue_position(self, request: SampleRequest) -> QueuePosition:
         trainer = self._target(self.trainer_version).trainer
         expected_tokens = self._lengths.estimate(request)
-        return queue_position(trainer, self.opening.step, request.index, expected_tokens)
+        return queue_position(trainer, self.open_step.step, request.index, expected_tokens)
 
     async def _commit(self, result: SampleResult) -> None:
-        record = await self._until_recorded(lambda: self._records.commit(result))
+        record = await self._retry_until_recorded(lambda: self._records.commit(result))
         if record is None:
             return
-        self._take(result.index, record)
+        self._apply_record(result.index, record)
         async with self._changed:
             self._changed.notify_all()
 
-    async def _until_recorded(
+    async def _retry_until_recorded(
         self, change: Callable[[], Awaitable[SampleRecord]]
     ) -> SampleRecord | None:
-        """Make a change of a record until it holds; None if the step is too old for records."""
-        backoff = Backoff(COMMIT_RETRY_BASE_S, COMMIT_RETRY_CAP_S)
+        """Retry a change of a record until it succeeds; return None if the step is too old."""
+        backoff = Backoff(RECORD_RETRY_BASE_DELAY_S, RECORD_RETRY_MAX_JITTER_S)
         while True:
             try:
                 return await change()
             except RecordExpired:
-                log.warning("step is too old to record", extra={"step": self.opening.step})
+                log.warning("step is too old to record", extra={"step": self.open_step.step})
                 return None
             except RecordError:
-                await asyncio.sleep(COMMIT_RETRY_BASE_S + backoff.next_delay())
+                await asyncio.sleep(RECORD_RETRY_BASE_DELAY_S + backoff.next_delay())
 
-    def _take(self, index: int, record: SampleRecord) -> None:
+    def _apply_record(self, index: int, record: SampleRecord) -> None:
         self._generations[index] = record.generation
         if record.result is not None:
             self._committed[index] = msgspec.json.decode(record.result, type=SampleResult)
 
     def remaining(self) -> int:
-        """Samples that are neither committed nor acknowledged."""
+        """Return the number of samples that are neither committed nor acknowledged."""
         return len(self._requests) - len(self._committed.keys() | self._acknowledged)
 
-    # --- delivering
+    # --- delivery
 
     async def deliver(
         self, received: set[int], trainer_version: int
     ) -> AsyncIterator[SampleResult]:
-        """Yield each sample that the trainer lacks, once, until it has all.
+        """Yield each sample that the trainer has not received, once, until it has all samples.
 
-        The trainer keeps `trainer_version` for as long as it reads this stream, so that the bound
-        checked here is the bound that holds on receipt.
+        The trainer does not change its `trainer_version` while it reads this stream, so the
+        staleness bound that is checked here still holds when the trainer receives the sample.
         """
         self.trainer_version = trainer_version
         received = set(received)
@@ -216,17 +226,17 @@
             for index in ready:
                 result = self._committed[index]
                 if self._is_stale(result, trainer_version):
-                    await self._make_again(result)
+                    await self._regenerate(result)
                     continue
                 received.add(index)
                 result.cursor = format_cursor(received)
                 yield result
             if not ready or all(index in received for index in ready):
-                await self._wait_for_news(received)
+                await self._wait_for_change(received)
             if self.superseded:
                 return
 
-    async def _wait_for_news(self, received: set[int]) -> None:
+    async def _wait_for_change(self, received: set[int]) -> None:
         async with self._changed:
             if len(received) < len(self._requests) and not self.superseded:
                 if not any(index not in received for index in self._committed):
@@ -236,25 +246,25 @@
         bound = self._target(trainer_version).oldest_allowed
         return oldest_version(result.segments) < bound
 
-    async def _make_again(self, result: SampleResult) -> None:
-        """Drop a result that is too old by now and generate it anew."""
+    async def _regenerate(self, result: SampleResult) -> None:
+        """Drop a committed result that has become too old, and generate the sample again."""
         self.dropped_stale += 1
         log.info(
             "sample dropped as too old",
             extra={"step": result.step, "index": result.index, "generation": result.generation},
         )
-        record = await self._until_recorded(
+        record = await self._retry_until_recorded(
             lambda: self._records.drop_stale(result.index, result.generation)
         )
         self._committed.pop(result.index, None)
         if record is None:
             return
-        self._take(result.index, record)
+        self._apply_record(result.index, record)
         if result.index not in self._committed:
             self._start_sample(self._requests[result.index])
 
     def acknowledge(self, received: set[int]) -> bool:
-        """Forget samples that the trainer has for good; return whether it has all."""
+        """Discard the results that the trainer has stored; return whether it has all samples."""
         self._acknowledged |= received
         for index in received:
             self._committed.pop(index, None)
--- a/tests/rollout/test_step_run.py
+++ b/tests/rollout/test_step_run.py
@@ -1,4 +1,4 @@
-"""One step's retries of its records, without a cluster."""
+"""Tests how a step retries changes of its records, without a cluster."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from crankseam.rollout.step_run import StepRun
 
 
-class Records:
-    """Raises the given errors first, then answers."""
+class FailingRecords:
+    """Raises the given errors in turn; after the last one, each call succeeds."""
 
     def __init__(self, *errors):
         self.errors = list(errors)
@@ -31,8 +31,8 @@
 
 def make_run(records):
     sample = SampleRequest(index=0, prompt="p")
-    opening = OpenStep(step=1, opened_at_ms=1, samples=[sample])
-    run = StepRun(opening, records, None, None, None, lambda version: None, lambda: True)
+    open_step = OpenStep(step=1, opened_at_ms=1, samples=[sample])
+    run = StepRun(open_step, records, None, None, None, lambda version: None, lambda: True)
     started = []
     run._start_sample = started.append
     return run, started
@@ -43,9 +43,9 @@
 )
 
 
-@pytest.mark.parametrize("method", ["_make_again", "_commit"])
+@pytest.mark.parametrize("method", ["_regenerate", "_commit"])
 async def test_a_step_too_old_for_records_is_not_tried_for_ever(method):
-    records = Records(*[RecordExpired()] * 50)
+    records = FailingRecords(*[RecordExpired()] * 50)
     run, started = make_run(records)
     async with asyncio.timeout(5):
         await getattr(run, method)(RESULT)
@@ -53,7 +53,7 @@
 
 
 async def test_a_stale_sample_is_dropped_through_failures_and_made_again():
-    records = Records(NoQuorum(), NoQuorum())
+    records = FailingRecords(NoQuorum(), NoQuorum())
     run, started = make_run(records)
-    await run._make_again(RESULT)
+    await run._regenerate(RESULT)
     assert records.calls == 3 and len(started) == 1
