--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -149,12 +149,12 @@
 def _make_version_filter(generation_target: GenerationTarget) -> Callable[[Candidate], str | None]:
     """Return a filter for the router that refuses samplers with a version that is too old."""
 
-    def refusal_reason(candidate: Candidate) -> str | None:
+    def refuse(candidate: Candidate) -> str | None:
         if 0 <= candidate.version < generation_target.oldest_allowed:
             return f"version {candidate.version} is older than {generation_target.oldest_allowed}"
         return None
 
-    return refusal_reason
+    return refuse
 
 
 class SampleGenerator:
