--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -1,4 +1,8 @@
-"""Steps through real nodes: exactly once, true versions, the bound at delivery."""
+"""Tests steps on a cluster of real nodes with stand-ins for samplers.
+
+Each sample must be delivered exactly once, with the weight versions that generated its tokens, and
+within the staleness bound at delivery.
+"""
 
 import asyncio
 
@@ -27,18 +31,19 @@
 )
 STEP_SAMPLES = 12
 LEASE_NOT_HELD = ("this node cannot confirm its configuration", "not_run")
-"""Detail and outcome of the answer that tells a trainer to come back to the same node."""
+"""Detail and outcome of the answer after which a trainer retries on the same node."""
 
 
-async def once_the_lease_is_held(ask):
-    """Ask again, as a trainer does, while the node answers that it holds no configuration lease.
+async def retry_until_lease_is_held(send_request):
+    """Repeat a request, as a trainer does, while the node does not hold its configuration lease.
 
-    The harness shortens the lease to 0.58 s, and all nodes share the test's event loop: where the
-    machine gives this process no time for that long, the refusal is right. Any other answer counts.
+    The harness shortens the lease to 0.58 s, and all nodes share the event loop of the test. If the
+    machine does not schedule this process for that long, the lease expires and the refusal is
+    correct. Any other answer is returned.
     """
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
-            status, content = await ask()
+            status, content = await send_request()
             is_problem = status == 503 and isinstance(content, dict)
             if not is_problem or (content["detail"], content["outcome"]) != LEASE_NOT_HELD:
                 return status, content
@@ -46,7 +51,7 @@
 
 
 class Rollout:
-    """A cluster with samplers and a trainer's side."""
+    """A cluster with samplers, and a client that sends the requests of a trainer."""
 
     def __init__(self, cluster, samplers, runners, session) -> None:
         self.cluster = cluster
@@ -66,23 +71,23 @@
         url = f"{self.cluster.url(node)}/trainers/trainer/steps"
         query = {"version": str(version), "after": after}
 
-        async def ask():
+        async def send_request():
             async with self.session.post(url, data=body, params=query) as answer:
                 return answer.status, await answer.json(content_type=None)
 
-        return await once_the_lease_is_held(ask)
+        return await retry_until_lease_is_held(send_request)
 
     async def stream(self, node, version=1, after="", stop_after=None):
         url = f"{self.cluster.url(node)}/trainers/trainer/steps/0/samples"
         query = {"version": str(version), "after": after}
 
-        async def ask():
+        async def send_request():
             async with self.session.get(url, params=query) as answer:
                 if answer.status != 200:
                     return answer.status, await answer.json(content_type=None)
                 return answer.status, await self._read_results(answer, stop_after)
 
-        status, content = await once_the_lease_is_held(ask)
+        status, content = await retry_until_lease_is_held(send_request)
         assert status == 200, content
         return content
 
@@ -123,13 +128,13 @@
             await runner.cleanup()
 
 
-def assert_whole_and_true(rollout, results):
+def assert_complete_with_true_versions(rollout, results):
     prompts = {sample.index: sample for sample in rollout.samples()}
     for result in results:
         prompt = prompts[result.index].prompt
         length = sample_length(PARAMETERS, prompt, 200)
         assert result.tokens == [token_at(prompt, i) for i in range(length)]
-        made = [
+        generated = [
             line
             for sampler in rollout.samplers
             for line in sampler.account.lines
@@ -139,7 +144,7 @@
             for position in range(segment.start, segment.end):
                 assert any(
                     line["start"] <= position < line["end"] and line["version"] == segment.version
-                    for line in made
+                    for line in generated
                 )
 
 
@@ -148,43 +153,43 @@
     results = await rollout.stream(0)
     assert sorted(r.index for r in results) == list(range(STEP_SAMPLES))
     assert parse_cursor(results[-1].cursor) == set(range(STEP_SAMPLES))
-    assert_whole_and_true(rollout, results)
+    assert_complete_with_true_versions(rollout, results)
 
 
 async def test_a_stream_goes_on_after_the_cursor_on_another_node(rollout):
-    """Node killed between commit and delivery: nothing is lost, nothing comes twice."""
+    """If a node is killed between commit and delivery, no sample is lost or delivered twice."""
     await rollout.open(0)
-    first = await rollout.stream(0, stop_after=3)
+    first_part = await rollout.stream(0, stop_after=3)
     await rollout.cluster.kill(0)
-    cursor = first[-1].cursor
+    cursor = first_part[-1].cursor
     assert (await rollout.open(1, after=cursor))[0] == 200
-    rest = await rollout.stream(1, after=cursor)
-    assert sorted(r.index for r in first + rest) == list(range(STEP_SAMPLES))
+    second_part = await rollout.stream(1, after=cursor)
+    assert sorted(r.index for r in first_part + second_part) == list(range(STEP_SAMPLES))
 
 
 async def test_what_was_committed_before_is_not_made_again(rollout):
     await rollout.open(0)
     results = await rollout.stream(0)
-    made = sum(sampler.tokens_made for sampler in rollout.samplers)
+    generated = sum(sampler.tokens_made for sampler in rollout.samplers)
     await rollout.open(1)
     again = await rollout.stream(1)
     assert {(r.index, tuple(r.tokens)) for r in again} == {
         (r.index, tuple(r.tokens)) for r in results
     }
-    assert sum(sampler.tokens_made for sampler in rollout.samplers) == made
+    assert sum(sampler.tokens_made for sampler in rollout.samplers) == generated
 
 
 async def test_the_driver_before_stops(rollout):
     await rollout.open(0)
     await rollout.open(1)
     run = rollout.cluster.nodes[0].rollout._runs["trainer", 0]
-    await eventually(lambda: run.superseded, "the old driver noticed")
+    await eventually(lambda: run.superseded, "the end of the old driver")
 
 
 async def test_a_sample_past_the_bound_is_made_again_not_delivered(rollout):
     await rollout.open(0)
     run = rollout.cluster.nodes[0].rollout._runs["trainer", 0]
-    await eventually(lambda: run.remaining() == 0, "all committed")
+    await eventually(lambda: run.remaining() == 0, "the commit of all samples")
     for sampler in rollout.samplers:
         sampler.serving = 3
     results = await rollout.stream(0, version=3)
@@ -195,33 +200,33 @@
 
 async def test_versions_are_those_reported_across_a_switch_in_mid_sample(rollout):
     await rollout.open(0)
-    await eventually(lambda: sum(s.tokens_made for s in rollout.samplers) > 50, "under way")
+    await eventually(lambda: sum(s.tokens_made for s in rollout.samplers) > 50, "the first tokens")
     for sampler in rollout.samplers:
         sampler.serving = 2
     results = await rollout.stream(0)
-    assert_whole_and_true(rollout, results)
+    assert_complete_with_true_versions(rollout, results)
     assert any(len(result.segments) == 2 for result in results)
 
 
 async def test_a_sampler_that_dies_in_mid_sample_loses_nothing(rollout):
     await rollout.open(0)
-    await eventually(lambda: rollout.samplers[0].tokens_made > 20, "under way")
+    await eventually(lambda: rollout.samplers[0].tokens_made > 20, "the first tokens")
     await rollout.runners[0].cleanup()
     results = await rollout.stream(0)
     assert sorted(r.index for r in results) == list(range(STEP_SAMPLES))
-    assert_whole_and_true(rollout, results)
+    assert_complete_with_true_versions(rollout, results)
 
 
 async def test_streams_are_read_on_other_nodes_too_and_survive_their_death(rollout, monkeypatch):
     monkeypatch.setattr(executors, "MAX_LOCAL_STREAMS", 1)
     nodes = rollout.cluster.nodes
     await rollout.open(0)
-    await eventually(lambda: nodes[1].executors.running_for_others > 0, "node 1 reads")
-    await eventually(lambda: nodes[2].executors.running_for_others > 0, "node 2 reads")
+    await eventually(lambda: nodes[1].executors.running_for_others > 0, "a stream read by node 1")
+    await eventually(lambda: nodes[2].executors.running_for_others > 0, "a stream read by node 2")
     await rollout.cluster.kill(2)
     results = await rollout.stream(0)
     assert sorted(r.index for r in results) == list(range(STEP_SAMPLES))
-    assert_whole_and_true(rollout, results)
+    assert_complete_with_true_versions(rollout, results)
 
 
 async def test_a_limit_on_the_pool_holds_for_samples(rollout):
@@ -262,9 +267,9 @@
     assert format_cursor({0, 1, 2, 5, 7, 8}) == "0-2,5,7-8"
     assert parse_cursor("0-2,5,7-8") == {0, 1, 2, 5, 7, 8}
     assert parse_cursor("") == set()
-    for bad in ("x", "3-1", "-1", "0-99999999", "1,,2"):
+    for malformed in ("x", "3-1", "-1", "0-99999999", "1,,2"):
         with pytest.raises(ValueError):
-            parse_cursor(bad)
+            parse_cursor(malformed)
 
 
 async def test_two_results_of_one_sample_the_first_committed_wins(rollout):
@@ -279,7 +284,7 @@
         SampleResult("trainer", 9, 0, 0, [n], [Segment(1, 0, 1)], [f"sampler-{n}"])
         for n in range(3)
     ]
-    agreed = await asyncio.gather(
+    agreed_records = await asyncio.gather(
         *(r.commit(result) for r, result in zip(records, results, strict=True))
     )
-    assert len({record.result for record in agreed}) == 1
+    assert len({record.result for record in agreed_records}) == 1
