--- a/src/crankseam/rollout/executors.py
+++ b/src/crankseam/rollout/executors.py
@@ -34,9 +34,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOCAL_STREAMS = 64
-"""Number of streams that a driver reads itself before it assigns further streams to other nodes.
-The cost of reading a stream is given in docs/CAPACITY.md."""
+LOCAL_STREAM_THRESHOLD = 64
+"""Number of streams that a driver reads itself before it also assigns streams to other nodes. The
+cost of reading a stream is given in docs/CAPACITY.md."""
 
 REMOTE_STREAM_TIMEOUT_S = 1800.0
 """Longest time that a driver waits for another node to read one stream."""
@@ -89,9 +89,11 @@
     # --- driver
 
     async def run(self, address: str, request: CompletionRequest) -> CompletionOutcome:
-        """Read a stream on this node, or on the node with the fewest streams assigned by this one.
+        """Read a stream on this node or on another node of the region.
 
-        Other nodes are used only while this node reads `MAX_LOCAL_STREAMS` streams itself.
+        Below `LOCAL_STREAM_THRESHOLD` streams, this node reads the stream itself. From there on,
+        the stream is assigned to the node that has the fewest streams from this node; this may be
+        this node itself.
         """
         executor = self._choose_executor()
         name = executor.name if executor else self._agent.settings.name
@@ -104,9 +106,9 @@
             self._assigned_streams[name] -= 1
 
     def _choose_executor(self) -> Member | None:
-        """Return the node that shall read the next stream; None means this node."""
+        """Return the other node that should read the next stream; None means this node."""
         own = self._agent.settings.name
-        if self._assigned_streams[own] < MAX_LOCAL_STREAMS:
+        if self._assigned_streams[own] < LOCAL_STREAM_THRESHOLD:
             return None
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
         chosen = min(members, key=lambda m: self._assigned_streams[m.name], default=None)
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -218,7 +218,7 @@
 
 
 async def test_streams_are_read_on_other_nodes_too_and_survive_their_death(rollout, monkeypatch):
-    monkeypatch.setattr(executors, "MAX_LOCAL_STREAMS", 1)
+    monkeypatch.setattr(executors, "LOCAL_STREAM_THRESHOLD", 1)
     nodes = rollout.cluster.nodes
     await rollout.open(0)
     await eventually(lambda: nodes[1].executors.running_for_others > 0, "a stream read by node 1")
