--- a/src/crankseam/cluster/digest.py
+++ b/src/crankseam/cluster/digest.py
@@ -1,9 +1,9 @@
-"""A node's table of what is known of members, back ends and replica sets, with versions.
+"""Versioned table of a node's view of members, back ends, replica sets and zones.
 
-Owns the newest entry of each; every accepted change raises the table's version, so that another
-node can ask for what changed since the version it has. Order between two entries of one thing lies
-in the entries themselves, so that it does not matter on which way they arrived. Relies on its
-callers to bring news; it asks nobody.
+The table holds the newest entry of each. Every accepted change raises the table's version, so that
+another node can request only what changed since the version it has. Two entries about the same
+subject are ordered by fields of the entries themselves, so the result does not depend on the order
+or route in which they arrive. The table sends no requests; its callers pass received entries in.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 T = TypeVar("T")
 
 DEAD_MEMBER_RETENTION_S = 3600.0
-"""How long a dead member's entry is kept, so that late news of it is recognised. Origin not
-recorded."""
+"""How long the entry of a dead member is kept, so that a delayed entry about it is recognised as
+outdated."""
 
 
 @dataclass(frozen=True)
 class KnownVersion:
-    """Up to which version of another node's table its changes are known here.
+    """Version of another node's table up to which this node has received its changes.
 
     Attributes
     ==========
 
-    incarnation : run of that node; another run counts its versions from 0 again.
+    incarnation : incarnation of that node; a restarted node counts its versions from 0 again.
     """
 
     incarnation: int
@@ -40,23 +40,24 @@
 
 @dataclass(frozen=True)
 class AgedReport:
-    """A report on a back end, and the seconds since it arrived here."""
+    """A report on a back end, and the number of seconds since this node received it."""
 
     report: BackEndReport
     age: float
 
 
-NOTHING_KNOWN = KnownVersion(0, 0)
-"""Of a node that was never asked."""
+NO_KNOWN_VERSION = KnownVersion(0, 0)
+"""For a node from which no entries have been requested yet."""
 
 
-def _placement(member: Member) -> tuple[int, int, str, str]:
-    """What of a member others choose by and reach it by."""
+def _routing_fields(member: Member) -> tuple[int, int, str, str]:
+    """The fields by which other nodes select a member and connect to it."""
     return member.incarnation, member.status, member.peer_address, member.caller_address
 
 
 class MemberStatus(enum.IntEnum):
-    """Higher values override lower ones of the same incarnation and sequence."""
+    """Status of a member; a higher value overrides a lower one of the same incarnation and
+    sequence."""
 
     ALIVE = 0
     LEAVING = 1
@@ -70,13 +71,16 @@
     changed_at: float
 
 
-def member_order(member: Member) -> tuple[int, int, int]:
-    """Newer news of a member compares higher."""
+def member_precedence(member: Member) -> tuple[int, int, int]:
+    """Sort key of entries about one member: the newer entry compares higher."""
     return member.incarnation, member.sequence, member.status
 
 
-def _newer(table: dict[Any, _Versioned[T]], version: int) -> Iterator[T]:
-    """Entries above `version`, newest first; costs what it yields, not what the table holds."""
+def _entries_after(table: dict[Any, _Versioned[T]], version: int) -> Iterator[T]:
+    """Entries changed after `version`, newest first.
+
+    The cost is proportional to the number of entries yielded, not to the size of the table.
+    """
     for known in reversed(table.values()):
         if known.version <= version:
             return
@@ -84,7 +88,7 @@
 
 
 class DigestTable:
-    """All entries, indexed for lookups by the rest of the node."""
+    """The newest entry about each subject, indexed for lookups by the rest of the node."""
 
     def __init__(self, region: str, clock: Callable[[], float] = time.monotonic) -> None:
         self.region = region
@@ -98,18 +102,20 @@
         self._pulses: dict[str, _Versioned[tuple[str, int]]] = {}
         self._listeners: list[Callable[[Member | BackEndReport], None]] = []
         self.alive_version = 0
-        """Raised when a member comes, goes or changes its addresses; not by reports or revisions,
-        so that what is derived from the living members can be kept until it is raised."""
+        """Incremented when a member joins, is removed, restarts, or changes its status or its
+        addresses, but not by reports or revisions. Values derived from the alive members can be
+        cached until it changes."""
         self._alive_cache: tuple[int, list[Member]] = (-1, [])
         self._alive_by_zone: dict[str, list[Member]] = {}
         self._alive_by_region: dict[str, list[Member]] = {}
         self._ranked_cache: dict[tuple[str, str], list[Member]] = {}
 
     def on_change(self, listener: Callable[[Member | BackEndReport], None]) -> None:
-        """Call `listener` with each accepted change of a member's status or a leaving flag."""
+        """Call `listener` with each accepted change of a member's status or of a back end's leaving
+        flag."""
         self._listeners.append(listener)
 
-    def _bump(self) -> int:
+    def _next_version(self) -> int:
         self.version += 1
         return self.version
 
@@ -117,60 +123,66 @@
         for listener in self._listeners:
             listener(item)
 
-    # --- accepting news
+    # --- merging received entries
 
     def learn_member(self, member: Member) -> bool:
-        """Take newer news of a member; return whether it was newer."""
+        """Store the entry if it is newer than the stored one; return whether it was."""
         known = self._members.get(member.name)
-        if known is not None and member_order(known.item) >= member_order(member):
+        if known is not None and member_precedence(known.item) >= member_precedence(member):
             return False
-        # Taken out and put back, so that the table stays in order of version.
+        # Removed and inserted again, so that the dict stays ordered by version.
         self._members.pop(member.name, None)
-        self._members[member.name] = _Versioned(member, self._bump(), self._clock())
-        if known is None or _placement(known.item) != _placement(member):
+        self._members[member.name] = _Versioned(member, self._next_version(), self._clock())
+        if known is None or _routing_fields(known.item) != _routing_fields(member):
             self.alive_version += 1
         if known is None or known.item.status != member.status:
             self._notify(member)
         return True
 
     def learn_report(self, report: BackEndReport) -> bool:
-        """Take a newer report of a back end by its watcher."""
+        """Store a watcher's report on a back end if it is newer; return whether it was."""
         key = (report.target, report.watcher)
         known = self._reports.get(key)
         if known is not None and known.item.sequence >= report.sequence:
             return False
         self._reports.pop(key, None)
         self._watchers.setdefault(report.target, set()).add(report.watcher)
-        self._reports[key] = _Versioned(report, self._bump(), self._clock())
+        self._reports[key] = _Versioned(report, self._next_version(), self._clock())
         if known is None or known.item.leaving != report.leaving:
             self._notify(report)
         return True
 
     def learn_replica_set(self, replica_set: ReplicaSet) -> bool:
-        """Take a slot's newer replica set."""
+        """Store a slot's replica set if it is newer; return whether it was."""
         if not self.slots.learn(replica_set):
             return False
         self._sets.pop(replica_set.slot, None)
-        self._sets[replica_set.slot] = _Versioned(replica_set, self._bump(), self._clock())
+        self._sets[replica_set.slot] = _Versioned(replica_set, self._next_version(), self._clock())
         return True
 
     def learn_pulse(self, zone: str, pulse: int) -> None:
-        """Take a zone's newer pulse: what else is known of the zone is as fresh as that."""
+        """Store a zone's pulse if it is newer.
+
+        The first relay of a zone raises its pulse at each heartbeat, so the arrival of a newer
+        pulse shows how fresh all other entries about the zone are.
+        """
         known = self._pulses.get(zone)
         if known is None or known.item[1] < pulse:
             self._pulses.pop(zone, None)
-            self._pulses[zone] = _Versioned((zone, pulse), self._bump(), self._clock())
+            self._pulses[zone] = _Versioned((zone, pulse), self._next_version(), self._clock())
 
     def zone_silence(self, zone: str) -> float:
-        """Seconds since news of the zone came: 0 for a zone that no node is in, infinite for one
-        whose first news has not come."""
+        """Seconds since a newer pulse of the zone arrived.
+
+        0 for a zone without known members, infinite for a zone with members but no pulse yet.
+        """
         known = self._pulses.get(zone)
         if known is not None:
             return self._clock() - known.changed_at
         return float("inf") if zone in self.zones() else 0.0
 
     def learn(self, entries: Entries) -> None:
-        """Take all entries of another node's table."""
+        """Merge entries received from another node's table."""
         for member in entries.members:
             self.learn_member(member)
         for report in entries.back_ends:
@@ -180,36 +192,39 @@
         for zone, pulse in entries.pulses.items():
             self.learn_pulse(zone, pulse)
 
-    # --- telling others
+    # --- entries for other nodes
 
     def changes_since(
-        self, version: int, zone: str | None = None, regional: bool = True
+        self, version: int, zone: str | None = None, include_regional: bool = True
     ) -> Entries:
         """Entries changed after `version`.
 
         Args:
-            zone: only members and back ends of this zone; None for all.
-            regional: False leaves out what only nodes of this region need.
+            zone: return only the members, back ends and pulse of this zone; None for all zones.
+            include_regional: whether to include back ends, replica sets and pulses, which only
+                nodes of this region need.
         """
         entries = Entries(self.version)
-        entries.members = [m for m in _newer(self._members, version) if zone in (None, m.zone)]
-        if regional:
-            reports = _newer(self._reports, version)
+        entries.members = [
+            m for m in _entries_after(self._members, version) if zone in (None, m.zone)
+        ]
+        if include_regional:
+            reports = _entries_after(self._reports, version)
             entries.back_ends = [report for report in reports if zone in (None, report.zone)]
-            entries.replica_sets = list(_newer(self._sets, version))
-            pulses = _newer(self._pulses, version)
+            entries.replica_sets = list(_entries_after(self._sets, version))
+            pulses = _entries_after(self._pulses, version)
             entries.pulses = {name: pulse for name, pulse in pulses if zone in (None, name)}
         return entries
 
     # --- lookups
 
     def member(self, name: str) -> Member | None:
-        """What is known of a node."""
+        """The entry of the node `name`; None if the node is unknown."""
         known = self._members.get(name)
         return known.item if known else None
 
     def members(self) -> Iterator[Member]:
-        """All members, dead ones too."""
+        """All members, including dead ones."""
         return (known.item for known in self._members.values())
 
     def _refresh_alive(self) -> None:
@@ -240,7 +255,7 @@
         return self._alive_by_region.get(region, [])
 
     def ranked_in_zone(self, purpose: str, zone: str) -> list[Member]:
-        """Living members of a zone in the order in which they are chosen for `purpose`."""
+        """Alive members of a zone, ordered by rendezvous rank for `purpose`."""
         self._refresh_alive()
         key = (purpose, zone)
         if key not in self._ranked_cache:
@@ -248,17 +263,24 @@
         return self._ranked_cache[key]
 
     def zones(self) -> dict[str, str]:
-        """Each zone that any member was ever known in, with its region."""
+        """The zones of all members in the table, including dead ones, each with its region."""
         return {member.zone: member.region for member in self.members()}
 
     def reports_for(self, target: str) -> list[AgedReport]:
-        """All watchers' reports on one back end."""
+        """The reports of all watchers on one back end."""
         now = self._clock()
         found = [self._reports[target, watcher] for watcher in self._watchers.get(target, ())]
         return [AgedReport(known.item, now - known.changed_at) for known in found]
 
-    def purge(self, keep_reports: set[str], report_retention: float) -> None:
-        """Drop long dead members, and reports that nobody renews or needs."""
+    def purge(self, kept_targets: set[str], report_retention: float) -> None:
+        """Delete outdated entries.
+
+        Args:
+            kept_targets: back ends whose reports are kept while they are renewed.
+            report_retention: seconds after which a report that was not renewed is deleted.
+
+        Members that have been dead for longer than `DEAD_MEMBER_RETENTION_S` are deleted too.
+        """
         now = self._clock()
         for name, known in list(self._members.items()):
             is_dead = known.item.status == MemberStatus.DEAD
@@ -266,7 +288,7 @@
                 del self._members[name]
                 self.alive_version += 1
         for key, report in list(self._reports.items()):
-            unused = key[0] not in keep_reports
-            if unused or now - report.changed_at > report_retention:
+            is_unused = key[0] not in kept_targets
+            if is_unused or now - report.changed_at > report_retention:
                 del self._reports[key]
                 self._watchers[key[0]].discard(key[1])
--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from crankseam import clocks
-from crankseam.cluster.digest import NOTHING_KNOWN, KnownVersion
+from crankseam.cluster.digest import NO_KNOWN_VERSION, KnownVersion
 from crankseam.cluster.parts import ClusterParts
 from crankseam.cluster.relay import RelayDuties
 from crankseam.cluster.urgent_news import UrgentNews
@@ -132,7 +132,7 @@
         )
 
     async def _beat_one(self, relay: Member, entries_wanted: bool) -> None:
-        known = self._known_versions.get(relay.name, NOTHING_KNOWN)
+        known = self._known_versions.get(relay.name, NO_KNOWN_VERSION)
         sets = self._unsent_sets(relay.name)
         message = Heartbeat(
             self._parts.local.entry,
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from crankseam import clocks
-from crankseam.cluster.digest import NOTHING_KNOWN, KnownVersion, MemberStatus
+from crankseam.cluster.digest import NO_KNOWN_VERSION, KnownVersion, MemberStatus
 from crankseam.cluster.liveness import MemberSilence, ZoneSilence, is_probably_cut_off
 from crankseam.cluster.parts import ClusterParts
 from crankseam.errors import PeerError, RecordError
@@ -88,7 +88,7 @@
         Args:
             from_zone: the zone whose relay it is; None for a seed of unknown zone.
         """
-        known = self._known_versions.get(name, NOTHING_KNOWN)
+        known = self._known_versions.get(name, NO_KNOWN_VERSION)
         zones = len(self._digest.zones())
         message = Exchange(self._parts.local.entry, known.incarnation, known.version, zones)
         try:
@@ -120,7 +120,7 @@
         # First contact (nothing known yet) gets all members. After that only this zone's: the
         # others the caller takes from their own zones, or from its parent.
         zone = None if since == 0 else self._settings.zone
-        entries = self._digest.changes_since(since, zone, regional=same_region)
+        entries = self._digest.changes_since(since, zone, include_regional=same_region)
         if message.known_zones < len(self._digest.zones()):
             entries.members += self._order.other_zone_relays()
         heard = self.members.heard_here(time.monotonic()) if same_zone else {}
