--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -201,7 +201,7 @@
 
     async def _on_heartbeat(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Heartbeat)
-        self._relay.members.hear([message.member.name], time.monotonic())
+        self._relay.members.record_contact([message.member.name], time.monotonic())
         self._digest.learn_member(message.member)
         for report in message.back_ends:
             self._digest.learn_report(report)
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -20,7 +20,11 @@
 
 from crankseam import clocks
 from crankseam.cluster.digest import NO_KNOWN_VERSION, KnownVersion, MemberStatus
-from crankseam.cluster.liveness import MemberSilence, ZoneSilence, is_probably_cut_off
+from crankseam.cluster.liveness import (
+    MemberFailureDetector,
+    ZoneFailureDetector,
+    is_probably_cut_off,
+)
 from crankseam.cluster.parts import ClusterParts
 from crankseam.errors import PeerError, RecordError
 from crankseam.peers.messages import (
@@ -52,8 +56,10 @@
         self._settings = parts.settings
         self._timing = timing = parts.settings.timing
         self._random = random.Random(f"relay {parts.identity}")
-        self.members = MemberSilence(timing.dead_after, time.monotonic())
-        self._zones = ZoneSilence(timing.dead_after + timing.suspect_after, timing.suspect_after)
+        self.members = MemberFailureDetector(timing.dead_after, time.monotonic())
+        self._zones = ZoneFailureDetector(
+            timing.dead_after + timing.suspect_after, timing.suspect_after
+        )
         self._known_versions: dict[str, KnownVersion] = {}
         parts.transport.handle(Exchange, self._on_exchange)
 
@@ -103,10 +109,10 @@
         self._known_versions[name] = KnownVersion(answer.relay_incarnation, answer.entries.version)
         now = time.monotonic()
         if from_zone is not None:
-            self._zones.hear(from_zone, now)
+            self._zones.record_contact(from_zone, now)
         if from_zone == self._settings.zone:
-            self.members.hear([name], now)
-            self.members.hear_from_relay(answer.heard, now)
+            self.members.record_contact([name], now)
+            self.members.merge_relay_contacts(answer.heard, now)
 
     async def _on_exchange(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Exchange)
@@ -123,7 +129,7 @@
         entries = self._digest.changes_since(since, zone, include_regional=same_region)
         if message.known_zones < len(self._digest.zones()):
             entries.members += self._order.other_zone_relays()
-        heard = self.members.heard_here(time.monotonic()) if same_zone else {}
+        heard = self.members.own_contact_ages(time.monotonic()) if same_zone else {}
         return ExchangeAnswer(incarnation, entries, heard)
 
     # --- deaths
@@ -133,7 +139,7 @@
         pause_s = self._timing.heartbeat_interval / JUDGEMENTS_PER_HEARTBEAT
         while True:
             await asyncio.sleep(pause_s)
-            self._zones.skip(self.members.tick(pause_s, time.monotonic()))
+            self._zones.exclude_time(self.members.tick(pause_s, time.monotonic()))
             if self._order.is_relay():
                 self._declare_silent_members()
             else:
@@ -152,8 +158,8 @@
         now = time.monotonic()
         silent = set(self.members.dead((member.name for member in watched), now))
         other_zones = [zone for zone in self._digest.zones() if zone != self._settings.zone]
-        hears_another_zone = self._zones.heard_any(other_zones, now)
-        if is_probably_cut_off(len(watched), len(silent), hears_another_zone):
+        reaches_other_zone = self._zones.any_recent_contact(other_zones, now)
+        if is_probably_cut_off(len(watched), len(silent), reaches_other_zone):
             return
         for member in watched:
             if member.name in silent:
