--- a/src/crankseam/cluster/configuration_lease.py
+++ b/src/crankseam/cluster/configuration_lease.py
@@ -1,17 +1,20 @@
-"""May this node serve now, and under which configuration revision?
+"""Configuration lease: decides whether this node may serve now, and under which revision.
 
 Inputs: readings of the region's configuration register, a replicated record that names the newest
-revision; each with the time at which it was asked for (seconds of the clock of promises), at most
-one term old to count.
-Rule: a node may take new work for one term, less a margin, after a majority of the register's
-replicas was asked and held nothing newer, and only while it has the newest revision it read of.
-It never goes back to an older revision.
-Protects: a revision in the register is in force on every node of the region one term later, also on
-those that are cut off: they have stopped taking new work. An outage of the key-value service
-changes nothing, since the register does not live there.
-Shown by: the problem "this node cannot confirm its configuration", `configuration_lease_seconds`,
-`/readyz`. Held by: tests/cluster/test_configuration_lease.py. The term and margin are settings
-(`timing.configuration_term`, `timing.clock_margin`); docs/design/05-configuration.md weighs them.
+revision. Each reading carries the time at which it was requested (seconds of `clocks.promised_s`)
+and supports the lease for at most one term.
+Rule: a node may take new work for one term, less a margin, after it asked a majority of the
+register's replicas and none of them held a newer revision. It may do so only while it holds the
+newest revision that any reading named. It never returns to an older revision.
+Purpose: one term after a revision is written to the register, no node of the region takes new work
+under an older one. A node that is cut off has stopped taking new work by then. An outage of the
+key-value service has no effect, because the register is not stored there.
+Logged as: the problem "this node cannot confirm its configuration", the gauge
+`configuration_lease_seconds`, and `/readyz`.
+Tested by: tests/cluster/test_configuration_lease.py.
+
+The term and the margin are settings (`timing.configuration_term`, `timing.clock_margin`); their
+trade-offs are discussed in docs/design/05-configuration.md.
 """
 
 from __future__ import annotations
@@ -31,25 +34,34 @@
 
 @dataclass(frozen=True)
 class RegisterReading:
-    """A majority's answer, and when the question was put (seconds of the clock of promises)."""
+    """The revision that a majority of the register's replicas returned.
+
+    Attributes
+    ==========
+
+    asked_at : when the read was requested (seconds of `clocks.promised_s`).
+    """
 
     revision: int
     asked_at: float
 
-    def is_better_than(self, other: RegisterReading) -> bool:
-        """Whether it counts over `other`: readings may arrive out of order; a newer revision always
-        counts, an older one never."""
+    def supersedes(self, other: RegisterReading) -> bool:
+        """Whether this reading replaces `other`.
+
+        Readings may arrive out of order: a newer revision always replaces an older one and never
+        the reverse; of two readings of one revision the one requested later counts.
+        """
         return (self.revision, self.asked_at) > (other.revision, other.asked_at)
 
 
 class ConfigurationLease:
-    """What this node may serve under, and until when.
+    """The newest configuration snapshot of this node, and how long it may serve under it.
 
     Parameters
     ==========
 
-    term : seconds from a reading to the end of the lease it supports.
-    margin : seconds by which this node gives up earlier.
+    term : seconds from the request of a reading to the end of the lease that it supports.
+    margin : seconds by which this node ends its lease earlier.
     """
 
     def __init__(
@@ -68,13 +80,19 @@
         self._listeners.append(listener)
 
     def confirm(self, reading: ConfigurationReading, asked_at: float) -> None:
-        """Take a reading that was `reading.age` seconds old when this node asked for it."""
+        """Extend the lease by a reading that was `reading.age` seconds old at `asked_at`.
+
+        Parameters
+        ==========
+
+        asked_at : when this node requested the reading (seconds of `clocks.promised_s`).
+        """
         taken = RegisterReading(reading.revision, asked_at - reading.age)
-        if taken.is_better_than(self._reading):
+        if taken.supersedes(self._reading):
             self._reading = taken
 
     def install(self, stored: StoredSnapshot) -> None:
-        """Take a snapshot if it is newer than the one held. A node only moves forward."""
+        """Replace the held snapshot if `stored` is newer. A node never returns to an older one."""
         if stored.pointer.revision <= self.snapshot.revision:
             return
         self.stored = stored
@@ -83,12 +101,12 @@
             listener(self.snapshot)
 
     def missing_revision(self) -> int | None:
-        """The revision that must be fetched before this node may go on serving."""
+        """The revision that must be fetched before this node may serve again, if there is one."""
         newest = self._reading.revision
         return newest if newest > self.snapshot.revision else None
 
     def remaining(self) -> float:
-        """Seconds for which the lease still holds; zero or less when it does not."""
+        """Seconds until the lease expires; zero or less once it has expired."""
         return self._reading.asked_at + self._term - self._margin - self._clock()
 
     def is_held(self) -> bool:
@@ -97,5 +115,5 @@
         return has_newest and self.remaining() > 0.0
 
     def current_reading(self) -> ConfigurationReading:
-        """The reading as of now, for passing on."""
+        """The newest reading with its present age, to be sent to other nodes."""
         return ConfigurationReading(self._reading.revision, self._clock() - self._reading.asked_at)
--- a/tests/cluster/test_configuration_lease.py
+++ b/tests/cluster/test_configuration_lease.py
@@ -1,4 +1,4 @@
-"""The lease under which a node serves a revision."""
+"""Configuration lease: how long a node may serve under a revision."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -77,7 +77,7 @@
 def test_one_term_after_a_revision_is_written_no_node_serves_the_old_one(
     written_at, readings, asked
 ):
-    """A reading taken at t returns revision 2 if t is after the write; the lease does the rest."""
+    """The register returns revision 2 to every read at or after the write, and 1 before it."""
     clock = Clock()
     lease = ConfigurationLease(TERM, 0.0, clock)
     lease.install(stored(1))
