--- a/src/crankseam/cluster/configuration_register.py
+++ b/src/crankseam/cluster/configuration_register.py
@@ -1,7 +1,7 @@
-"""The region's newest configuration revision, and its content, as replicated records.
+"""Configuration register: the region's newest revision and its content, as replicated records.
 
-Owns the two record keys and their encoding. Relies on the proposer: what a majority of the slot's
-replicas holds is the answer. Both records only ever grow to a higher revision.
+This module defines the keys and the encoding of the two records. The proposer reads and writes them
+through a majority of the slot's replicas. The revision of either record never decreases.
 """
 
 from __future__ import annotations
@@ -18,16 +18,19 @@
 
 
 class ConfigurationRegister:
-    """Reads and raises the region's revision."""
+    """Reads and advances the region's configuration revision."""
 
     def __init__(self, proposer: Proposer) -> None:
         self._proposer = proposer
 
     async def publish(self, stored: StoredSnapshot) -> None:
-        """Make a revision the region's newest: its content first, then its number.
+        """Make a revision the region's newest; does nothing if the register has a newer one.
+
+        The content is written before the number, so that the content of every revision that the
+        register names can be read.
 
         Raises:
-            RecordError: no majority; try again.
+            RecordError: no majority of the replicas answered; the call may be repeated.
         """
         encoded = msgspec.msgpack.encode(stored)
         await self._proposer.change(
@@ -39,16 +42,20 @@
         )
 
     async def read_revision(self) -> int:
-        """The newest revision, as a majority holds it; 0 before the first.
+        """The newest revision according to a majority of the replicas; 0 before the first one.
 
         Raises:
-            RecordError: no majority answered.
+            RecordError: no majority of the replicas answered.
         """
         value = await self._proposer.read(REVISION_RECORD)
         return msgspec.msgpack.decode(value, type=int) if value else 0
 
     async def read_content(self) -> StoredSnapshot | None:
-        """The newest revision with its documents; None before the first. Raises RecordError."""
+        """The newest revision with its documents; None before the first one.
+
+        Raises:
+            RecordError: no majority of the replicas answered.
+        """
         value = await self._proposer.read(CONTENT_RECORD)
         return msgspec.msgpack.decode(value, type=StoredSnapshot) if value is not None else None
 
