--- a/src/crankseam/cluster/known_peers.py
+++ b/src/crankseam/cluster/known_peers.py
@@ -1,7 +1,7 @@
-"""Remembers peers in the data folder, for first contact when seeds and machine list fail.
+"""Stores peer addresses in the data folder, for a start at which seeds and machine list fail.
 
-Owns one file, which is replaced as a whole. Nothing relies on it: the addresses may be old and are
-only tried.
+The addresses are kept in one file, which is replaced as a whole. They are only hints: an address
+may be outdated, and no other module depends on the file.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 
 FILE_NAME = "known-peers.json"
 MAX_PEERS = 50
-"""Addresses kept; first contact tries ten of all. Origin not recorded."""
+"""Number of addresses kept. At its start a node tries at most ten addresses, including the seeds
+and the machine list (`MAX_SEEDS_TRIED` in the agent module)."""
 
 
 class KnownPeers:
-    """A short list of peer addresses in a file. It may be old; addresses are only tried."""
+    """A short list of peer addresses, stored in a file. The addresses may be outdated."""
 
     def __init__(self, folder: Path | None) -> None:
         self._file = folder / FILE_NAME if folder is not None else None
 
     def load(self) -> list[str]:
-        """The addresses remembered; empty if there is no usable file."""
+        """The stored addresses; empty if there is no readable file."""
         if self._file is None or not self._file.exists():
             return []
         try:
@@ -35,7 +36,7 @@
             return []
 
     def save(self, addresses: list[str]) -> None:
-        """Replace what is remembered; a failure is logged and changes nothing else."""
+        """Replace the stored addresses. A failed write is logged and keeps the previous file."""
         if self._file is None:
             return
         partial = self._file.with_suffix(".partial")
