--- a/src/crankseam/cluster/local_member.py
+++ b/src/crankseam/cluster/local_member.py
@@ -1,8 +1,8 @@
-"""The entry under which the other nodes know this process.
+"""The membership entry that describes this process to the other nodes.
 
-Owns the entry and its sequence: each change raises the sequence, so that the others take the newer
-one. Relies on the digest table to keep and spread it. A process that hears of its own death answers
-with a higher sequence.
+Each change of the entry raises its sequence, so that other nodes replace the entry that they hold.
+The digest table stores the entry and distributes it. A process that receives an entry declaring it
+dead refutes it by an entry with a higher sequence.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class LocalMember:
-    """This process as a member, from the moment at which its addresses are known."""
+    """This process as a member; created once its addresses are known."""
 
     def __init__(self, entry: Member, digest: DigestTable) -> None:
         self.entry = entry
@@ -24,12 +24,12 @@
 
     @property
     def name(self) -> str:
-        """Name of the node."""
+        """Name of the node, which is the same in all incarnations."""
         return self.entry.name
 
     @property
     def incarnation(self) -> int:
-        """Number of this run of the node."""
+        """Incarnation of this process: a number that is higher after every restart of the node."""
         return self.entry.incarnation
 
     @property
@@ -43,7 +43,7 @@
         revision: int | None = None,
         caller_address: str | None = None,
     ) -> None:
-        """Change what the others are told; None leaves a field as it is."""
+        """Change fields of the entry and publish it; None leaves a field unchanged."""
         old = self.entry
         self.entry = msgspec.structs.replace(
             old,
@@ -55,7 +55,7 @@
         self._digest.learn_member(self.entry)
 
     def _refute_death(self, _change: Member | BackEndReport) -> None:
-        """Answer news of this process's own death with a higher sequence."""
+        """Replace an entry that declares this process dead by one with a higher sequence."""
         known = self._digest.member(self.name)
         if known is None or known == self.entry:
             return
