--- a/src/crankseam/cluster/parts.py
+++ b/src/crankseam/cluster/parts.py
@@ -1,7 +1,7 @@
-"""What the tasks of one node's membership work on.
+"""The components that the membership tasks of one node share.
 
-The agent makes these parts in order when it starts, and hands them to heartbeats, urgent news and
-relay duties; none of those needs the agent itself.
+The agent creates them when it starts and passes them to the modules for heartbeats, urgent updates
+and relay duties, so that none of these depends on the agent.
 """
 
 from __future__ import annotations
@@ -25,13 +25,14 @@
 
 @dataclass(frozen=True)
 class ClusterParts:
-    """Shared by the tasks of one node.
+    """The components that the membership tasks of one node share.
 
     Attributes
     ==========
 
     identity : `node@incarnation` of this process.
-    learn_replica_set : takes a slot's newer replica set into the digest and starts it here.
+    learn_replica_set : stores a slot's newer replica set in the digest table. If the set was
+        founded (created without state to carry over), it also takes effect in the replica store.
     """
 
     settings: NodeSettings
