--- a/src/crankseam/cluster/configuration_register.py
+++ b/src/crankseam/cluster/configuration_register.py
@@ -24,10 +24,10 @@
         self._proposer = proposer
 
     async def publish(self, stored: StoredSnapshot) -> None:
-        """Make a revision the region's newest; does nothing if the register has a newer one.
+        """Make a revision the region's newest, unless the register holds this or a newer one.
 
-        The content is written before the number, so that the content of every revision that the
-        register names can be read.
+        The content is written before the number, so that a node which reads the number also finds
+        the content.
 
         Raises:
             RecordError: no majority of the replicas answered; the call may be repeated.
