--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -120,7 +120,7 @@
 
 def test_a_stall_ends_only_with_an_answer_to_what_was_asked_after_it():
     now = [0.0]
-    guard = StallGuard(longest=0.5, clock=lambda: now[0])
+    guard = StallGuard(max_tick_gap=0.5, clock=lambda: now[0])
     assert guard.is_fresh()
     asked_before = now[0]
     now[0] = 3.0  # stopped
