--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -147,9 +147,9 @@
                 relay.peer_address, message, HeartbeatAnswer, self._timing.peer_timeout
             )
         except PeerError:
-            self.order.note_failure(relay.name)
+            self.order.record_failure(relay.name)
             return
-        self.order.note_success(relay.name)
+        self.order.record_success(relay.name)
         self._note_sent(relay.name, answer.relay_incarnation, message)
         self._digest.learn(answer.entries)
         if entries_wanted:
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -102,9 +102,9 @@
                 address, message, ExchangeAnswer, self._timing.peer_timeout
             )
         except PeerError:
-            self._order.note_failure(name)
+            self._order.record_failure(name)
             return
-        self._order.note_success(name)
+        self._order.record_success(name)
         self._digest.learn(answer.entries)
         self._known_versions[name] = KnownVersion(answer.relay_incarnation, answer.entries.version)
         now = time.monotonic()
--- a/tests/cluster/test_zone_order.py
+++ b/tests/cluster/test_zone_order.py
@@ -1,4 +1,4 @@
-"""Who relays in a zone, and who is whose parent in the tree of the digest."""
+"""Choice of a zone's relays, and of each member's parent in the digest tree."""
 
 from crankseam.cluster.zone_order import choose_relays, parent_position
 from crankseam.peers.messages import Member
