--- a/src/crankseam/cluster/agent.py
+++ b/src/crankseam/cluster/agent.py
@@ -1,9 +1,10 @@
-"""Starts and stops what a node does together with others, and gives the rest of the node its parts.
+"""Creates, starts and stops the cluster components of a node and gives access to them.
 
-Owns the order in which they are made: first contact, incarnation, records, listening, membership.
-Relies on the peer transport and the key-value client it is given. The rules are elsewhere: who is
-alive in `liveness`, who does shared work in `zone_order`, what may be served in
-`configuration_lease`, whether the view is fresh in `stall_guard`.
+The agent determines the order of the start: it contacts the seeds, chooses the incarnation, creates
+the records, listens for peers and starts the membership tasks. The peer transport and the key-value
+client are passed in. The rules are in other modules: `liveness` decides which members are alive,
+`zone_order` which node performs shared work, `configuration_lease` whether the node may serve, and
+`stall_guard` whether its view of the cluster is fresh.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
 from crankseam.settings import NodeSettings
 from crankseam.tasks import TaskGroupOwner
 
-FIRST_CONTACT_TIMEOUT_S = 1.0
-"""How long one seed may take to answer at the start. Origin not recorded."""
-MAX_FIRST_CONTACTS = 10
-"""Seeds that are asked at the start, so that many dead ones delay it by 10 s at most."""
+SEED_TIMEOUT_S = 1.0
+"""How long one seed may take to answer at the start."""
+MAX_SEEDS_TRIED = 10
+"""Number of seeds tried at the start, so that unreachable seeds delay it by at most 10 s."""
 
 
 class ClusterAgent:
-    """Membership, digests, replicated records and the configuration lease of one node."""
+    """The membership, digest table, replicated records and configuration lease of one node."""
 
     def __init__(self, settings: NodeSettings, key_value: KeyValueClient) -> None:
         self.settings = settings
@@ -59,7 +60,7 @@
         self.known_peers = KnownPeers(settings.data_folder)
         self.stall_guard = StallGuard(timing.longest_stall)
         self.identity = ""
-        """`node@incarnation` of this process, once it has started."""
+        """`node@incarnation` of this process; empty until it has started."""
         self.local: LocalMember
         self.transport: PeerTransport
         self.replicas: ReplicaStore
@@ -69,7 +70,7 @@
 
     @property
     def own(self) -> Member:
-        """What the others are told of this node."""
+        """The membership entry of this node, as sent to other nodes."""
         return self.local.entry
 
     # --- start and stop
@@ -78,24 +79,24 @@
         """Contact the seeds, choose an incarnation, listen and start the controllers."""
         self.transport = transport
         seeds = await self._seed_addresses()
-        known = await self._first_contact(seeds)
-        # Above every incarnation that peers remember, also where this machine's clock was set back.
-        incarnation = max(clocks.wall_ms(), known + 1)
+        last_incarnation = await self._learn_from_seeds(seeds)
+        # Higher than any incarnation that peers know, even if this machine's clock was set back.
+        incarnation = max(clocks.wall_ms(), last_incarnation + 1)
         self.identity = f"{self.settings.name}@{incarnation}"
         transport.incarnation = incarnation
         self._create_records()
         port = await transport.listen(self.settings.listen_host, self.settings.peer_port)
-        entry = self._first_entry(incarnation, port, caller_address)
+        entry = self._initial_entry(incarnation, port, caller_address)
         self.local = LocalMember(entry, self.digest)
         self.lease.on_snapshot(lambda snapshot: self.local.update(revision=snapshot.revision))
         parts = self._build_parts()
         self.membership = MembershipController(parts, seeds)
-        self._answer_record_messages()
+        self._register_record_handlers()
         self.tasks.start(self.stall_guard.run(), "stall guard")
         self.tasks.start(self.membership.run(), "membership")
         self.tasks.start(parts.snapshots.run(), "snapshot")
 
-    def _first_entry(self, incarnation: int, port: int, caller_address: str) -> Member:
+    def _initial_entry(self, incarnation: int, port: int, caller_address: str) -> Member:
         settings = self.settings
         return Member(
             name=settings.name,
@@ -136,13 +137,13 @@
         )
         self.register = ConfigurationRegister(self.proposer)
 
-    def _answer_record_messages(self) -> None:
+    def _register_record_handlers(self) -> None:
         self._record_handlers = self.replicas.handlers()
         for message_type, handler in self._record_handlers.items():
             self.transport.handle(message_type, handler)
 
     async def close(self) -> None:
-        """Stop everything at once, as a crash would."""
+        """Stop all tasks and connections immediately; as after a crash, peers are not notified."""
         await self.tasks.stop()
         await self.transport.close()
         if self.machine_list is not None:
@@ -157,28 +158,30 @@
         own = self.settings.advertise_peer
         return [seed for seed in seeds if seed != own]
 
-    async def _first_contact(self, seeds: list[str]) -> int:
-        """Take the tables of some seeds; return the newest incarnation known of this node."""
-        probe = Exchange(self._entry_before_start(), 0, 0)
-        for seed in seeds[:MAX_FIRST_CONTACTS]:
+    async def _learn_from_seeds(self, seeds: list[str]) -> int:
+        """Merge the tables of some seeds; return this node's newest known incarnation, or 0."""
+        probe = Exchange(self._provisional_entry(), 0, 0)
+        for seed in seeds[:MAX_SEEDS_TRIED]:
             try:
-                answer = await self.transport.call_for(
-                    seed, probe, ExchangeAnswer, FIRST_CONTACT_TIMEOUT_S
-                )
+                answer = await self.transport.call_for(seed, probe, ExchangeAnswer, SEED_TIMEOUT_S)
             except PeerError:
-                continue  # seeds may be old addresses; heartbeats go on asking them
+                continue  # the address may be outdated; the heartbeat loop contacts seeds again
             self.digest.learn(answer.entries)
-        known = self.digest.member(self.settings.name)
-        return known.incarnation if known else 0
+        own_entry = self.digest.member(self.settings.name)
+        return own_entry.incarnation if own_entry else 0
 
-    def _entry_before_start(self) -> Member:
+    def _provisional_entry(self) -> Member:
         settings = self.settings
         return Member(settings.name, settings.region, settings.zone, "", "", 0, 0)
 
-    # --- calls and news
+    # --- calls, replica sets and permission to send work
 
     async def call_identity(self, identity: str, message: Message, timeout: float) -> AnyMessage:
-        """Call one run of a node; raises PeerError, also when that run is known to have ended."""
+        """Call the process with this identity (`node@incarnation`).
+
+        Raises:
+            PeerError: the call failed, or the digest table holds no such incarnation of the node.
+        """
         if identity == self.identity:
             return await self._record_handlers[type(message)](self.settings.name, message)  # type: ignore[arg-type]
         name, _, incarnation = identity.rpartition("@")
@@ -188,21 +191,32 @@
         return await self.transport.call(member.peer_address, message, timeout)
 
     def learn_replica_set(self, replica_set: ReplicaSet) -> None:
-        """Take a slot's newer replica set and start it here if it is a founded one."""
+        """Store a slot's newer replica set in the digest table and pass it to the replica store.
+
+        The replica store acts only on a founded set, which has no state to carry over.
+        """
         self.digest.learn_replica_set(replica_set)
         self.replicas.adopt(replica_set)
 
     def may_send_work(self) -> bool:
-        """Whether this node may send new work to a back end now. Ask directly before sending."""
+        """Whether this node may send new work to a back end now.
+
+        Must be checked directly before each send, since the answer may change at any time.
+        """
         return self.stall_guard.is_fresh() and self.lease.is_held()
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a planned stop of this node has begun."""
         return self.local.is_leaving
 
     # --- records
 
     def locate(self, key: str, dated: int = UNDATED) -> RecordKey:
-        """Where the record `key` lives."""
+        """The slot and key of a record.
+
+        Args:
+            dated: date of the record's identifier in milliseconds; `UNDATED` for records that are
+                never dropped.
+        """
         return RecordKey(slot_of(key, self.settings.record_slots), key, dated)
