--- a/src/crankseam/cluster/snapshot_follower.py
+++ b/src/crankseam/cluster/snapshot_follower.py
@@ -1,7 +1,7 @@
-"""Fetches the configuration that the region's register names, wherever this node lacks it.
+"""Fetches the configuration revision that the region's register names if this node lacks it.
 
-Owns the newest revision that a peer announced. Relies on the lease to say what is missing, on the
-zone's relays for the content, and on the register's own content record where no relay has it.
+The lease determines which revision is missing, unless a peer announced a newer one. The content is
+requested from the zone's relays and, if none of them has it, read from the register.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from crankseam.peers.transport import PeerTransport
 from crankseam.settings import NodeSettings
 
-LOOKS_PER_HEARTBEAT = 4
-"""How often a missing revision is looked for. Origin not recorded; an announcement comes first in
-nearly all cases, so this only bounds the wait where it was lost."""
+CHECKS_PER_HEARTBEAT = 4
+"""How often this node checks for a missing revision. Nearly always an announcement arrives first;
+the checks limit the delay if it was lost."""
 
 
 class SnapshotFollower:
-    """Keeps the lease's snapshot at the newest revision heard of, and passes it on to peers."""
+    """Keeps the lease's snapshot at the newest known revision and sends it to peers on request."""
 
     def __init__(
         self,
@@ -47,14 +47,17 @@
         transport.handle(FetchSnapshot, self._on_fetch_snapshot)
 
     def announce(self, revision: int) -> None:
-        """A peer says that the register names this revision: fetch it without waiting."""
+        """Fetch this revision without waiting for the next check.
+
+        Called when a peer reports that the register names the revision.
+        """
         if revision > self._announced_revision:
             self._announced_revision = revision
             self._announced.set()
 
     async def run(self) -> None:
-        """Fetch what is missing until cancelled."""
-        pause_s = self._timing.heartbeat_interval / LOOKS_PER_HEARTBEAT
+        """Fetch missing revisions until cancelled."""
+        pause_s = self._timing.heartbeat_interval / CHECKS_PER_HEARTBEAT
         while True:
             missing = max(self._lease.missing_revision() or 0, self._announced_revision)
             if missing > self._lease.snapshot.revision:
@@ -75,17 +78,17 @@
                     self._timing.peer_timeout,
                 )
             except PeerError:
-                continue  # the next relay, or the record, has it too
+                continue  # the next relay or the register may have the content
             if answer.content is not None:
                 self._lease.install(msgspec.msgpack.decode(answer.content, type=StoredSnapshot))
                 return
-        await self._read_record()
+        await self._fetch_from_register()
 
-    async def _read_record(self) -> None:
+    async def _fetch_from_register(self) -> None:
         try:
             stored = await self._register.read_content()
         except RecordError:
-            return  # no majority now; looked for again after the pause
+            return  # no majority answered; `run` tries again after the pause
         if stored is not None:
             self._lease.install(stored)
 
