--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -87,7 +87,7 @@
     async def run(self) -> None:
         """Beat until cancelled."""
         self._parts.tasks.start(self._relay.read_register_loop(), "register")
-        self._parts.tasks.start(self._relay.judge_loop(), "judge")
+        self._parts.tasks.start(self._relay.failure_detection_loop(), "judge")
         while True:
             started = time.monotonic()
             await self._beat()
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -1,12 +1,13 @@
-"""What a relay does besides answering heartbeats: exchange between zones, deaths, the register.
+"""Duties of a relay besides answering heartbeats.
 
-Owns which version of each peer's digest is known here, and what was heard when. Relies on
-`zone_order` for whether this node is a relay now and on `liveness` for who is dead. Nothing here
-outlives the process or is waited for by others: any node can take these duties up within one
-heartbeat.
+A relay exchanges digests with relays of other zones and with the other relay of its zone, declares
+members and zones dead, and reads the configuration register. This module keeps the version up to
+which each peer's digest is known, and the times of the last contacts. `zone_order` decides whether
+this node is a relay, and `liveness` which members are dead. The state is not stored and no other
+node waits for it, so any node can take over these duties within one heartbeat.
 
-`coordination/relay` is something else: calls to the store that another process makes for one that
-the store does not serve.
+The module `coordination/relay` is unrelated: there, one process calls the store on behalf of
+another process that the store does not serve.
 """
 
 from __future__ import annotations
@@ -38,16 +39,22 @@
 log = logging.getLogger(__name__)
 
 READINGS_PER_TERM = 5
-"""Readings of the register in one lease term: three may fail before a lease runs out, since a
-reading reaches the zone's nodes with their next heartbeat. Origin not recorded."""
-JUDGEMENTS_PER_HEARTBEAT = 4
-"""Looks for silent members in one heartbeat, so that a death is noticed at most a quarter of a
-heartbeat late. Measured at 420 nodes with one look: deaths were known after 5.7 s in the median,
-with 5 s allowed."""
+"""Readings of the register per lease term. Three readings may fail before a lease expires, since a
+reading reaches the nodes of the zone only with their next heartbeat."""
+FAILURE_CHECKS_PER_HEARTBEAT = 4
+"""Checks for silent members per heartbeat, so that a death is detected at most a quarter of a
+heartbeat late. With one check at 420 nodes, all nodes knew of a death after 5.7 s in the median,
+which exceeds the permitted 5 s."""
 
 
 class RelayDuties:
-    """Carries them out while this node is a relay of its zone."""
+    """Performs the duties of a relay while this node is a relay of its zone.
+
+    Attributes
+    ==========
+
+    members : failure detector for the members of this zone.
+    """
 
     def __init__(self, parts: ClusterParts) -> None:
         self._parts = parts
@@ -57,7 +64,7 @@
         self._timing = timing = parts.settings.timing
         self._random = random.Random(f"relay {parts.identity}")
         self.members = MemberFailureDetector(timing.dead_after, time.monotonic())
-        self._zones = ZoneFailureDetector(
+        self._zone_detector = ZoneFailureDetector(
             timing.dead_after + timing.suspect_after, timing.suspect_after
         )
         self._known_versions: dict[str, KnownVersion] = {}
@@ -66,33 +73,33 @@
     # --- exchange between relays
 
     async def exchange(self) -> None:
-        """Take the news of other zones, and the other relay's of this one."""
-        first = self._order.is_first_relay()
-        if first:
+        """Fetch changes from this zone's other relay and, as the first relay, from other zones."""
+        is_first = self._order.is_first_relay()
+        if is_first:
             self._digest.learn_pulse(self._settings.zone, clocks.wall_ms())
-        # The second relay takes the other zones' news from the first, its parent.
-        zones = self._digest.zones() if first else [self._settings.zone]
+        # The second relay receives the changes of other zones from the first one, its parent.
+        zones = self._digest.zones() if is_first else [self._settings.zone]
         await asyncio.gather(*(self._pull_from_zone(zone) for zone in zones))
-        if first:
+        if is_first:
             self._declare_silent_zones()
         else:
-            self._zones.reset()
+            self._zone_detector.reset()
 
     async def _pull_from_zone(self, zone: str) -> None:
-        own_zone = zone == self._settings.zone
+        is_own_zone = zone == self._settings.zone
         candidates = [m for m in self._order.relays(zone) if m.name != self._settings.name]
-        if not candidates and not own_zone:
-            # Every member of the zone is taken for dead: look whether one of them answers again.
+        if not candidates and not is_own_zone:
+            # All members of the zone are dead or leaving: try whether one of them answers again.
             members = [m for m in self._digest.members() if m.zone == zone]
             candidates = [self._random.choice(members)] if members else []
         if candidates:
             await self.pull(candidates[0].peer_address, candidates[0].name, zone)
 
     async def pull(self, address: str, name: str, from_zone: str | None) -> None:
-        """Take what changed at a peer since the last time.
+        """Fetch and merge the changes at a peer since the last fetch.
 
         Args:
-            from_zone: the zone whose relay it is; None for a seed of unknown zone.
+            from_zone: the zone of which the peer is a relay; None for a seed of unknown zone.
         """
         known = self._known_versions.get(name, NO_KNOWN_VERSION)
         zones = len(self._digest.zones())
@@ -109,7 +116,7 @@
         self._known_versions[name] = KnownVersion(answer.relay_incarnation, answer.entries.version)
         now = time.monotonic()
         if from_zone is not None:
-            self._zones.record_contact(from_zone, now)
+            self._zone_detector.record_contact(from_zone, now)
         if from_zone == self._settings.zone:
             self.members.record_contact([name], now)
             self.members.merge_relay_contacts(answer.heard, now)
@@ -119,33 +126,33 @@
         if message.member.incarnation:
             self._digest.learn_member(message.member)
         incarnation = self._parts.local.incarnation
-        same_run = message.relay_incarnation == incarnation
-        since = message.known_version if same_run else 0
-        same_zone = message.member.zone == self._settings.zone
-        same_region = message.member.region == self._settings.region
-        # First contact (nothing known yet) gets all members. After that only this zone's: the
-        # others the caller takes from their own zones, or from its parent.
+        is_same_run = message.relay_incarnation == incarnation
+        since = message.known_version if is_same_run else 0
+        is_same_zone = message.member.zone == self._settings.zone
+        is_same_region = message.member.region == self._settings.region
+        # A caller without a known version receives the members of all zones. Later calls receive
+        # only those of this zone; the caller fetches the rest from the other zones or its parent.
         zone = None if since == 0 else self._settings.zone
-        entries = self._digest.changes_since(since, zone, include_regional=same_region)
+        entries = self._digest.changes_since(since, zone, include_regional=is_same_region)
         if message.known_zones < len(self._digest.zones()):
             entries.members += self._order.other_zone_relays()
-        heard = self.members.own_contact_ages(time.monotonic()) if same_zone else {}
+        heard = self.members.own_contact_ages(time.monotonic()) if is_same_zone else {}
         return ExchangeAnswer(incarnation, entries, heard)
 
-    # --- deaths
+    # --- failure detection
 
-    async def judge_loop(self) -> None:
-        """Look for silence several times a heartbeat, so that a death is not noticed late."""
-        pause_s = self._timing.heartbeat_interval / JUDGEMENTS_PER_HEARTBEAT
+    async def failure_detection_loop(self) -> None:
+        """Check for silent members several times per heartbeat, until cancelled."""
+        pause_s = self._timing.heartbeat_interval / FAILURE_CHECKS_PER_HEARTBEAT
         while True:
             await asyncio.sleep(pause_s)
-            self._zones.exclude_time(self.members.tick(pause_s, time.monotonic()))
+            self._zone_detector.exclude_time(self.members.tick(pause_s, time.monotonic()))
             if self._order.is_relay():
                 self._declare_silent_members()
             else:
-                # What was heard in an earlier time as a relay says nothing about now.
+                # Contacts from an earlier period as a relay would make alive members look silent.
                 self.members.reset()
-                self._zones.reset()
+                self._zone_detector.reset()
 
     def _declare_silent_members(self) -> None:
         watched = [
@@ -158,7 +165,7 @@
         now = time.monotonic()
         silent = set(self.members.dead((member.name for member in watched), now))
         other_zones = [zone for zone in self._digest.zones() if zone != self._settings.zone]
-        reaches_other_zone = self._zones.any_recent_contact(other_zones, now)
+        reaches_other_zone = self._zone_detector.any_recent_contact(other_zones, now)
         if is_probably_cut_off(len(watched), len(silent), reaches_other_zone):
             return
         for member in watched:
@@ -166,12 +173,15 @@
                 self._declare_dead(member)
 
     def _declare_silent_zones(self) -> None:
-        """Take the members of an unreachable zone of this region for dead, until heard again."""
+        """Declare the members of unreachable zones of this region dead.
+
+        A member counts as dead until a newer entry from it arrives.
+        """
         now = time.monotonic()
         for zone, region in self._digest.zones().items():
             if zone == self._settings.zone or region != self._settings.region:
                 continue
-            if not self._zones.is_dead(zone, now):
+            if not self._zone_detector.is_dead(zone, now):
                 continue
             for member in list(self._digest.members()):
                 if member.zone == zone and member.status != MemberStatus.DEAD:
@@ -186,7 +196,7 @@
     # --- the configuration register
 
     async def read_register_loop(self) -> None:
-        """Read the register several times a term while this node is a relay."""
+        """Read the register several times per lease term while this node is a relay."""
         pause_s = self._timing.configuration_term / READINGS_PER_TERM
         while True:
             if self._order.is_relay():
@@ -194,10 +204,11 @@
             await asyncio.sleep(pause_s * self._random.uniform(0.9, 1.1))
 
     async def read_register(self) -> None:
-        """Read it once, for this node's lease and for those that ask this relay."""
+        """Read the register once, for the leases of this node and of the nodes that send heartbeats
+        to this relay."""
         asked_at = clocks.promised_s()
         try:
             revision = await self._parts.register.read_revision()
         except RecordError:
-            return  # no majority now; the lease runs out if this goes on for a term
+            return  # no majority answered; the lease expires if this lasts for a whole term
         self._parts.lease.confirm(ConfigurationReading(revision, 0.0), asked_at)
