--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -19,7 +19,7 @@
 from crankseam.cluster.digest import NO_KNOWN_VERSION, KnownVersion
 from crankseam.cluster.parts import ClusterParts
 from crankseam.cluster.relay import RelayDuties
-from crankseam.cluster.urgent_news import UrgentNews
+from crankseam.cluster.urgent_updates import UrgentUpdates
 from crankseam.errors import PeerError
 from crankseam.peers.messages import (
     AnyMessage,
@@ -79,7 +79,7 @@
         self._beats = 0
         self.observed_reports: Callable[[], list[BackEndReport]] = lambda: []
         parts.transport.handle(Heartbeat, self._on_heartbeat)
-        self._urgent = UrgentNews(parts, self._relay.read_register, self._wake.set)
+        self._urgent = UrgentUpdates(parts, self._relay.read_register, self._wake.set)
         self.nudge = self._urgent.nudge
 
     # --- the loop
--- a/tests/cluster/test_urgent_news.py
+++ b/tests/cluster/test_urgent_updates.py
@@ -1,6 +1,6 @@
-"""The pause between rounds of urgent news."""
+"""Pause between two rounds of urgent updates."""
 
-from crankseam.cluster.urgent_news import next_pause
+from crankseam.cluster.urgent_updates import next_pause
 
 HEARTBEAT = 1.0
 
