--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -1,10 +1,11 @@
-"""Heartbeats to the zone's relays, and the tree that spreads the digest.
-
-Owns when this node sends a heartbeat and what each relay has acknowledged of its reports and
-replica sets. Relies on `zone_order` for its relays and parent; the answer to a heartbeat carries
-the newest reading of the configuration register and, from the parent only, what changed anywhere,
-since one node could not send that to a whole zone within its share of traffic. Relays hold no state
-that others depend on: any member can answer a heartbeat.
+"""Sends heartbeats to the zone's relays and answers those of other members.
+
+This module determines when a node sends heartbeats and tracks which of its reports and replica sets
+each relay has acknowledged. `zone_order` determines the relays and the parent. Each answer to a
+heartbeat carries the newest reading of the configuration register. Only the answer of the parent
+also carries the changes of the digest, since one node that sent them to a whole zone would exceed
+the traffic limit per node. Relays hold no state that other nodes depend on: any member can answer a
+heartbeat.
 """
 
 from __future__ import annotations
@@ -31,38 +32,46 @@
 )
 
 NO_ENTRIES = -1
-"""Sent in place of a version by a node that takes no changes from this relay."""
-MAX_BEATS_PER_INTERVAL = 3
-"""However often a node is woken, it beats only so often: woken by each piece of news, 420 nodes on
-an overloaded machine beat up to four times as often and stayed overloaded (commit 9938361)."""
-SHORTEST_WAIT_S = 0.01
-"""A node that is late waits at least this long for news before it beats again. Origin not
-recorded."""
-FREQUENT_SEED_BEATS = 5
-"""Up to this beat each one contacts a seed. Origin not recorded."""
-SEED_CONTACT_BEATS = 15
-"""From then on a relay contacts a seed once in so many beats in the mean, so that groups that
-started apart find each other. Origin not recorded."""
+"""Sent instead of a version if the sender does not request digest changes from this relay."""
+MAX_HEARTBEATS_PER_INTERVAL = 3
+"""Limit on the heartbeats that a node sends per interval, however often it is woken. When every
+update woke the nodes, 420 nodes on an overloaded machine sent up to four times as many heartbeats
+and stayed overloaded."""
+MIN_WAIT_S = 0.01
+"""Minimum wait before the next heartbeat, also if that heartbeat is overdue."""
+INITIAL_SEED_HEARTBEATS = 5
+"""Each heartbeat before the one with this number also contacts a seed."""
+HEARTBEATS_PER_SEED_CONTACT = 15
+"""After the initial heartbeats a relay contacts a seed once per this number of heartbeats on
+average, so that groups of nodes that started separately find each other."""
 
 
 @dataclass
-class Acknowledged:
-    """What one run of a relay has of this node's reports and replica sets.
+class AcknowledgedState:
+    """The reports and replica sets of this node that one incarnation of a relay has received.
 
     Attributes
     ==========
 
-    newest_report : highest sequence among the reports it has.
-    epochs : by slot, of the replica sets it has.
+    incarnation : incarnation of the relay.
+    report_sequence : highest sequence among the received reports.
+    epochs : by slot, the epoch of the received replica set.
     """
 
     incarnation: int
-    newest_report: int = 0
+    report_sequence: int = 0
     epochs: dict[int, int] = field(default_factory=dict)
 
 
 class MembershipController:
-    """Runs a node's heartbeats and answers those of others."""
+    """Sends the heartbeats of this node and answers those of other members.
+
+    Attributes
+    ==========
+
+    observed_reports : returns this node's own reports on back ends.
+    nudge : sends urgent updates without waiting for the next heartbeat.
+    """
 
     def __init__(self, parts: ClusterParts, seeds: list[str]) -> None:
         self._parts = parts
@@ -74,9 +83,9 @@
         self.order = parts.order
         self._relay = RelayDuties(parts)
         self._known_versions: dict[str, KnownVersion] = {}
-        self._acknowledged: dict[str, Acknowledged] = {}
+        self._acknowledged: dict[str, AcknowledgedState] = {}
         self._wake = asyncio.Event()
-        self._beats = 0
+        self._heartbeat_count = 0
         self.observed_reports: Callable[[], list[BackEndReport]] = lambda: []
         parts.transport.handle(Heartbeat, self._on_heartbeat)
         self._urgent = UrgentUpdates(parts, self._relay.read_register, self._wake.set)
@@ -85,12 +94,12 @@
     # --- the loop
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Send heartbeats until cancelled."""
         self._parts.tasks.start(self._relay.read_register_loop(), "register")
         self._parts.tasks.start(self._relay.failure_detection_loop(), "judge")
         while True:
             started = time.monotonic()
-            await self._beat()
+            await self._send_heartbeats()
             if self.order.is_relay():
                 await self._relay.exchange()
             self._parts.stall_guard.view_renewed(started)
@@ -98,40 +107,41 @@
             await self._sleep_until_next(started)
 
     def _start_founded_sets(self) -> None:
-        """Start founded replica sets that arrived by digest."""
+        """Pass replica sets received with the digest to the replica store, which starts founded
+        ones."""
         for replica_set in self._digest.slots.all():
             self._parts.replicas.adopt(replica_set)
 
     async def _sleep_until_next(self, started: float) -> None:
-        """Until the next beat is due, or sooner if something urgent wakes this node."""
-        soonest_s = self._timing.heartbeat_interval / MAX_BEATS_PER_INTERVAL
-        await asyncio.sleep(max(0.0, started + soonest_s - time.monotonic()))
+        """Wait until the next heartbeat is due or a nudge wakes this node."""
+        min_interval_s = self._timing.heartbeat_interval / MAX_HEARTBEATS_PER_INTERVAL
+        await asyncio.sleep(max(0.0, started + min_interval_s - time.monotonic()))
         interval_s = self._timing.heartbeat_interval * self._random.uniform(0.9, 1.1)
-        remaining_s = max(SHORTEST_WAIT_S, started + interval_s - time.monotonic())
+        remaining_s = max(MIN_WAIT_S, started + interval_s - time.monotonic())
         try:
             async with asyncio.timeout(remaining_s):
                 await self._wake.wait()
         except TimeoutError:
-            pass  # nothing urgent came: the next beat is due
+            pass  # not woken: the next heartbeat is due
         self._wake.clear()
 
-    # --- a node's side
+    # --- sending heartbeats
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         relays = self.order.relays()
-        others = [relay for relay in relays if relay.name != self._settings.name]
+        other_relays = [relay for relay in relays if relay.name != self._settings.name]
         if self._is_seed_contact_due():
             await self._contact_seeds()
         parent = self.order.parent()
-        targets = {relay.name: relay for relay in others}
+        targets = {relay.name: relay for relay in other_relays}
         if parent is not None and parent.name != self._settings.name:
             targets[parent.name] = parent
         parent_name = parent.name if parent else ""
         await asyncio.gather(
-            *(self._beat_one(member, name == parent_name) for name, member in targets.items())
+            *(self._send_heartbeat(member, name == parent_name) for name, member in targets.items())
         )
 
-    async def _beat_one(self, relay: Member, entries_wanted: bool) -> None:
+    async def _send_heartbeat(self, relay: Member, wants_entries: bool) -> None:
         known = self._known_versions.get(relay.name, NO_KNOWN_VERSION)
         sets = self._unsent_sets(relay.name)
         message = Heartbeat(
@@ -139,7 +149,7 @@
             self._unsent_reports(relay.name),
             sets,
             known.incarnation,
-            known.version if entries_wanted else NO_ENTRIES,
+            known.version if wants_entries else NO_ENTRIES,
         )
         asked_at = clocks.promised_s()
         try:
@@ -150,21 +160,21 @@
             self.order.record_failure(relay.name)
             return
         self.order.record_success(relay.name)
-        self._note_sent(relay.name, answer.relay_incarnation, message)
+        self._record_acknowledged(relay.name, answer.relay_incarnation, message)
         self._digest.learn(answer.entries)
-        if entries_wanted:
+        if wants_entries:
             version = KnownVersion(answer.relay_incarnation, answer.entries.version)
             self._known_versions[relay.name] = version
         self._parts.lease.confirm(answer.configuration, asked_at)
 
     def _unsent_reports(self, relay: str) -> list[BackEndReport]:
-        """This node's reports that the relay has not acknowledged yet."""
+        """Reports of this node that the relay has not acknowledged."""
         acknowledged = self._acknowledged.get(relay)
-        newest = acknowledged.newest_report if acknowledged is not None else 0
+        newest = acknowledged.report_sequence if acknowledged is not None else 0
         return [report for report in self.observed_reports() if report.sequence > newest]
 
     def _unsent_sets(self, relay: str) -> list[ReplicaSet]:
-        """Sets this node is a replica of and that the relay has not acknowledged yet."""
+        """Replica sets with this node as a member that the relay has not acknowledged."""
         acknowledged = self._acknowledged.get(relay)
         epochs = acknowledged.epochs if acknowledged is not None else {}
         return [
@@ -174,22 +184,27 @@
             and slot.replica_set.epoch > epochs.get(slot.replica_set.slot, 0)
         ]
 
-    def _note_sent(self, relay: str, incarnation: int, message: Heartbeat) -> None:
-        known = self._acknowledged.setdefault(relay, Acknowledged(incarnation))
+    def _record_acknowledged(self, relay: str, incarnation: int, message: Heartbeat) -> None:
+        known = self._acknowledged.setdefault(relay, AcknowledgedState(incarnation))
         if known.incarnation != incarnation:
-            # Another run of the relay: it has nothing yet, so all is sent once more.
-            self._acknowledged[relay] = Acknowledged(incarnation)
+            # The relay has restarted and holds nothing, so everything is sent again.
+            self._acknowledged[relay] = AcknowledgedState(incarnation)
             return
         sequences = [report.sequence for report in message.back_ends]
-        known.newest_report = max([known.newest_report, *sequences])
+        known.report_sequence = max([known.report_sequence, *sequences])
         known.epochs.update({sent.slot: sent.epoch for sent in message.replica_sets})
 
     def _is_seed_contact_due(self) -> bool:
-        """Often at first, then rarely: groups that started apart find each other through seeds."""
-        self._beats += 1
-        if len(self._digest.alive()) <= 1 or self._beats < FREQUENT_SEED_BEATS:
+        """Whether this heartbeat also contacts a seed.
+
+        Seeds are contacted at each of the first heartbeats, rarely later, and always while this
+        node knows no other alive member. Groups of nodes that started separately find each other
+        through seeds.
+        """
+        self._heartbeat_count += 1
+        if len(self._digest.alive()) <= 1 or self._heartbeat_count < INITIAL_SEED_HEARTBEATS:
             return True
-        return self.order.is_relay() and self._random.random() < 1 / SEED_CONTACT_BEATS
+        return self.order.is_relay() and self._random.random() < 1 / HEARTBEATS_PER_SEED_CONTACT
 
     async def _contact_seeds(self) -> None:
         if not self._seeds:
@@ -197,7 +212,7 @@
         seed = self._random.choice(self._seeds)
         await self._relay.pull(seed, seed, from_zone=None)
 
-    # --- a relay's side
+    # --- answering heartbeats
 
     async def _on_heartbeat(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Heartbeat)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership over loopback: finding each other, deaths, returns, cuts."""
+"""Membership over loopback: discovery, deaths, restarts, stalls and outages."""
 
 import pytest
 
@@ -26,7 +26,7 @@
         await agent.close()
 
 
-async def grow(platform, agents, count, seeds_of=lambda addresses, index: addresses[:2]):
+async def start_agents(platform, agents, count, seeds_of=lambda addresses, index: addresses[:2]):
     addresses: list[str] = []
     for index in range(count):
         seeds = seeds_of(addresses, index)
@@ -34,20 +34,22 @@
         addresses.append(await agent.start())
         agents.append(agent)
     await eventually(
-        lambda: all(len(a.agent.digest.alive()) == count for a in agents), "all know all"
+        lambda: all(len(a.agent.digest.alive()) == count for a in agents),
+        "every agent sees all members alive",
     )
     await eventually(lambda: all(a.agent.lease.is_held() for a in agents), "all ready")
 
 
 async def test_all_find_each_other_and_the_configuration(platform, agents):
-    await grow(platform, agents, 9)
+    await start_agents(platform, agents, 9)
     assert {a.agent.lease.snapshot.revision for a in agents} == {1}
 
 
 async def test_groups_that_started_apart_find_each_other(platform, agents):
-    """Found with 12 nodes started at once: two groups of 7 and 5 stayed apart.
+    """Guards against groups of nodes that stay separate: of 12 nodes that were started at once, a
+    group of 7 and a group of 5 never found each other.
 
-    Each group has members in several zones; only one link between the groups is known.
+    Here each group has members in several zones, and only one node has seeds in both groups.
     """
 
     def seeds_of(addresses, index):
@@ -55,11 +57,11 @@
             return addresses[:1]
         return addresses[4:5] if index < 7 else [addresses[4], addresses[0]]
 
-    await grow(platform, agents, 8, seeds_of)
+    await start_agents(platform, agents, 8, seeds_of)
 
 
 async def test_a_death_is_known_to_all_and_its_replicas_are_replaced(platform, agents):
-    await grow(platform, agents, 6)
+    await start_agents(platform, agents, 6)
     victim = agents.pop(1)
     identity = victim.agent.identity
     await victim.close()
@@ -75,7 +77,7 @@
         sets = agents[0].agent.digest.slots.all()
         return not any(identity in replica_set.members for replica_set in sets)
 
-    await eventually(replaced, "no slot counts on the dead node")
+    await eventually(replaced, "no replica set contains the dead node")
     assert not any(
         m.status == MemberStatus.DEAD for m in agents[0].agent.digest.members() if m.name != name
     )
@@ -84,7 +86,7 @@
 async def test_a_node_started_during_an_outage_takes_the_newest_revision_from_peers(
     platform, agents
 ):
-    await grow(platform, agents, 3)
+    await start_agents(platform, agents, 3)
     await platform.apply(platform.documents(max_in_flight=7))
     await eventually(lambda: all(a.agent.lease.snapshot.revision == 2 for a in agents))
     platform.key_value.faults.down_until = float("inf")
@@ -97,7 +99,7 @@
 
 
 async def test_a_node_that_hears_of_its_own_death_refutes_it(platform, agents):
-    await grow(platform, agents, 3)
+    await start_agents(platform, agents, 3)
     target = agents[0].agent
     dead = Member(
         **{
@@ -123,7 +125,7 @@
     guard = StallGuard(max_tick_gap=0.5, clock=lambda: now[0])
     assert guard.is_fresh()
     asked_before = now[0]
-    now[0] = 3.0  # stopped
+    now[0] = 3.0  # the process was stopped
     assert not guard.is_fresh()
     guard.tick()
     guard.view_renewed(asked_before)
@@ -157,7 +159,7 @@
 async def test_a_slot_whose_majority_restarted_is_founded_anew_and_refuses_old_ids(
     platform, agents
 ):
-    await grow(platform, agents, 3)
+    await start_agents(platform, agents, 3)
     old_sets = agents[2].agent.digest.slots.all()
     survivor = agents[2]
     key = survivor.agent.locate("record", dated=1000)
@@ -180,15 +182,16 @@
 
 
 async def test_news_of_a_death_travels_without_heartbeats(platform, agents):
-    """At 420 nodes a death took 2 s more to spread than to notice, since each level of a
-    zone's tree had to pull it from the one above."""
-    await grow(platform, agents, 8)
+    """Guards against a slow spread of deaths through the digest tree: at 420 nodes a death took 2 s
+    longer to spread than to detect, since each level of a zone's tree had to fetch it from its
+    parent."""
+    await start_agents(platform, agents, 8)
 
     async def nothing(*_args):
         return None
 
     for agent in agents:
-        agent.agent.membership._beat = nothing
+        agent.agent.membership._send_heartbeats = nothing
         agent.agent.membership._relay.exchange = nothing
     relay = next(a.agent for a in agents if a.agent.membership.order.is_first_relay())
     victim = next(
