--- a/src/crankseam/cluster/urgent_updates.py
+++ b/src/crankseam/cluster/urgent_updates.py
@@ -1,6 +1,6 @@
 """Sends urgent updates in `Nudge` messages, without waiting for the next heartbeat.
 
-Urgent are deaths and departures of members, leaving back ends and new configuration revisions. A
+Deaths and departures of members, leaving back ends and new configuration revisions are urgent. A
 member sends an update to its zone's relays, and each relay forwards it to the members of its zone.
 The relays of all other zones receive it from the relays of the zone that it is about; a new
 revision is sent to them by every relay. `zone_order` determines the relays.
