--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -1,13 +1,17 @@
-"""Weight coordinator of one pool: stages a version on all samplers ahead, then switches them.
+"""Weight coordinator of one pool: stages a version on all samplers, then switches them.
 
-Owns the orders to samplers and what is known of each for the version under way. Relies on
-`weight_rules` for when to order what, on the duty's lease for whether it may, and on the weight
-store for the newest version. The duty's fencing token goes with every order, so that a coordinator
-that was paused and wakes late is refused by the samplers.
+Explanation
+===========
 
-`orders/version_coordinator` does this on the users' platform, and differs by intent: there trainers
-name the versions, a sampler carries several models and stands still for one while it loads it, and
-a few load at a time so that little work is broken off. The two share no rule but the fence.
+The coordinator sends the orders to the samplers and records their progress towards the target
+version. `weight_rules` decides when to send which order, the lease of the duty decides whether the
+coordinator may act, and the weight store names the newest version. Every order carries the fencing
+token of the duty, so that samplers refuse a coordinator that resumes after a pause.
+
+`orders/version_coordinator` is the counterpart on the users' platform and differs on purpose.
+There, trainers name the versions, a sampler serves several models and suspends one of them while it
+loads its weights, and only a few samplers load at a time, so that little work is interrupted. The
+two have only the rule of the fencing token in common.
 """
 
 from __future__ import annotations
@@ -41,13 +45,13 @@
 
 log = logging.getLogger(__name__)
 
-POLICY_POLL_S = 0.5
-"""How often policies are looked for that came or went. Origin not recorded."""
+POLICY_POLL_INTERVAL_S = 0.5
+"""How often the configuration is checked for added and removed policies."""
 COORDINATOR_CANDIDATES = 2
-"""Nodes that compete for a pool's duty: one may die, and the key-value service pays for no more.
-Origin not recorded."""
-SAMPLER_SILENCE_S = 5.0
-"""Silence after which a sampler's answer is given up. Origin not recorded."""
+"""Number of nodes that compete for the duty of a pool. Two tolerate the death of one; more would
+only cost further calls to the key-value service."""
+SAMPLER_SILENCE_TIMEOUT_S = 5.0
+"""Read timeout for an answer of a sampler: the longest time without data."""
 
 
 class WeightCoordinator:
@@ -65,7 +69,7 @@
         self._policy_name = policy_name
         self._decisions = decisions
         self._watch = watch
-        self._sampler = SamplerClient(session, silence_timeout=SAMPLER_SILENCE_S)
+        self._sampler = SamplerClient(session, silence_timeout=SAMPLER_SILENCE_TIMEOUT_S)
         self._store = WeightStoreClient(session)
         timing = agent.settings.timing
         self._duty = Duty(
@@ -78,26 +82,26 @@
         self._progress: dict[str, SamplerProgress] = {}
 
     async def run(self) -> None:
-        """Compete for the duty and carry it out until cancelled."""
-        competing: asyncio.Task[None] | None = None
+        """Compete for the duty, and reconcile the samplers while holding it, until cancelled."""
+        duty_task: asyncio.Task[None] | None = None
         try:
             while True:
-                wanted = self._is_candidate()
-                if wanted and competing is None:
-                    competing = self._agent.tasks.start(self._duty.run(), "weights duty")
-                if not wanted and competing is not None:
-                    competing.cancel()
-                    competing = None
+                is_candidate = self._is_candidate()
+                if is_candidate and duty_task is None:
+                    duty_task = self._agent.tasks.start(self._duty.run(), "weights duty")
+                if not is_candidate and duty_task is not None:
+                    duty_task.cancel()
+                    duty_task = None
                     await self._duty.release()
                 if self._duty.is_held():
-                    await self._reconcile_safely()
+                    await self._try_reconcile()
                 await asyncio.sleep(self._agent.settings.timing.weights_poll)
         finally:
-            if competing is not None:
-                competing.cancel()
+            if duty_task is not None:
+                duty_task.cancel()
 
     async def release(self) -> None:
-        """Hand the duty over at a planned stop."""
+        """Release the duty at a planned stop."""
         await self._duty.release()
 
     def _is_candidate(self) -> bool:
@@ -105,8 +109,8 @@
         if policy is None or self._agent.is_leaving:
             return False
         members = self._agent.digest.alive_in_region(self._pool(policy).home_region)
-        order = ranked(f"weights/{policy.name}", members)[:COORDINATOR_CANDIDATES]
-        return any(member.name == self._agent.settings.name for member in order)
+        candidates = ranked(f"weights/{policy.name}", members)[:COORDINATOR_CANDIDATES]
+        return any(member.name == self._agent.settings.name for member in candidates)
 
     def _policy(self) -> WeightPolicy | None:
         return self._agent.lease.snapshot.weight_policies.get(self._policy_name)
@@ -114,9 +118,9 @@
     def _pool(self, policy: WeightPolicy) -> SamplerPool:
         return self._agent.lease.snapshot.pools[policy.pool]
 
-    # --- reconciling
+    # --- reconciliation
 
-    async def _reconcile_safely(self) -> None:
+    async def _try_reconcile(self) -> None:
         try:
             await self._reconcile()
         except CrankseamError as error:
@@ -127,52 +131,52 @@
         if policy is None:
             return
         pool = self._pool(policy)
-        version = await self._wanted_version(policy)
+        version = await self._target_version(policy)
         if version is None:
             return
         samplers = [sampler for sampler in pool.samplers if not sampler.leaving]
         for sampler in samplers:
-            self._notice_restart(pool, sampler, version)
-        await self._look_at_unknown(samplers, version)
+            self._detect_restart(pool, sampler, version)
+        await self._query_unknown_states(samplers, version)
         await self._stage(policy, samplers, version)
         await self._switch(samplers, version)
         self._publish_set_aside(pool)
 
-    def _notice_restart(self, pool: SamplerPool, sampler: BackEnd, version: int) -> None:
-        """Have a sampler looked at again that its watchers see at another version."""
+    def _detect_restart(self, pool: SamplerPool, sampler: BackEnd, version: int) -> None:
+        """Query a sampler again if its watchers report another version than it was switched to."""
         progress = self._progress_of(sampler.name, version)
         reports = self._agent.digest.reports_for(f"{pool.name}/{sampler.name}")
-        seen = [each for each in reports if each.report.version >= 0]
-        if not progress.is_serving or not seen:
+        with_version = [aged for aged in reports if aged.report.version >= 0]
+        if not progress.is_serving or not with_version:
             return
-        newest = min(seen, key=lambda each: each.age)
+        newest = min(with_version, key=lambda aged: aged.age)
         if progress.is_contradicted(newest.report.version, newest.age, time.monotonic()):
-            progress.forget_state()
+            progress.reset_state()
 
-    async def _look_at_unknown(self, samplers: list[BackEnd], version: int) -> None:
-        """Ask those samplers for their state of which nothing is known, every few seconds.
+    async def _query_unknown_states(self, samplers: list[BackEnd], version: int) -> None:
+        """Query the samplers in an unknown state, each every `STATE_QUERY_INTERVAL_S`.
 
-        What this coordinator ordered itself it knows from the answers, so that it does not ask
-        hundreds of samplers all the time.
+        The coordinator knows the result of its own orders from the answers, so that it need not
+        query hundreds of samplers in every round.
         """
         now = time.monotonic()
 
-        async def look(sampler: BackEnd) -> None:
+        async def query(sampler: BackEnd) -> None:
             progress = self._progress_of(sampler.name, version)
-            if not progress.is_look_due(now):
+            if not progress.is_state_query_due(now):
                 return
-            progress.looked_at = now
+            progress.state_queried_at = now
             try:
                 state = await self._sampler.state(sampler.address)
             except SamplerError:
-                return  # looked at again when the next look is due
+                return  # queried again when the next query is due
             progress.is_known = True
             progress.is_loaded = version in state.loaded
             progress.is_serving = state.serving == version
 
-        await asyncio.gather(*(look(sampler) for sampler in samplers))
+        await asyncio.gather(*(query(sampler) for sampler in samplers))
 
-    async def _wanted_version(self, policy: WeightPolicy) -> int | None:
+    async def _target_version(self, policy: WeightPolicy) -> int | None:
         if policy.pinned_version is not None:
             return policy.pinned_version
         versions = await self._store.versions(policy.store, policy.pool)
@@ -186,26 +190,30 @@
         return progress
 
     async def _stage(self, policy: WeightPolicy, samplers: list[BackEnd], version: int) -> None:
-        gate = asyncio.Semaphore(policy.staging_concurrency)
+        semaphore = asyncio.Semaphore(policy.staging_concurrency)
         now = time.monotonic()
 
         async def load(sampler: BackEnd) -> None:
             if not self._progress_of(sampler.name, version).is_load_due(now):
                 return
-            async with gate:
+            async with semaphore:
                 await self._load_one(policy, sampler, version)
 
         await asyncio.gather(*(load(sampler) for sampler in samplers))
 
     def _source(self, policy: WeightPolicy, sampler: BackEnd, version: int) -> str:
-        """A caching node, of the sampler's zone if there is one; the store after a failed load."""
+        """Return the URL to load from: a caching node, or the store after a failed load.
+
+        Caching nodes in the zone of the sampler are preferred. Without a caching node, the sampler
+        loads from the store.
+        """
         failed = self._progress_of(sampler.name, version).failed_loads
         region = self._pool(policy).home_region
         caching = [m for m in self._agent.digest.alive_in_region(region) if m.caches_weights]
         if not caching or failed:
             return WeightStoreClient.source(policy.store, policy.pool, version)
-        near = [member for member in caching if member.zone == sampler.zone]
-        chosen = ranked(f"weights-source/{sampler.name}", near or caching)[0]
+        same_zone = [member for member in caching if member.zone == sampler.zone]
+        chosen = ranked(f"weights-source/{sampler.name}", same_zone or caching)[0]
         return cache_source(chosen.caller_address, policy.pool, version)
 
     async def _load_one(self, policy: WeightPolicy, sampler: BackEnd, version: int) -> None:
@@ -219,24 +227,24 @@
             log.warning("order refused: a newer coordinator acts", extra={"pool": policy.pool})
             return
         except OrderFailed as error:
-            self._note_failed_load(policy, sampler, progress, error)
+            self._record_failed_load(policy, sampler, progress, error)
             return
         progress.is_loaded = True
         progress.failed_loads = 0
         if progress.set_aside:
             progress.set_aside = ""
-            self._decide("bring_back", sampler, "its load succeeded")
+            self._record_decision("bring_back", sampler, "its load succeeded")
 
-    def _note_failed_load(
+    def _record_failed_load(
         self, policy: WeightPolicy, sampler: BackEnd, progress: SamplerProgress, error: OrderFailed
     ) -> None:
-        progress.note_failed_load(time.monotonic())
+        progress.record_failed_load(time.monotonic())
         if progress.is_set_aside_due(policy.load_attempts):
             version = progress.version
             progress.set_aside = f"{progress.failed_loads} loads of {version} failed: {error}"
-            self._decide("set_aside", sampler, progress.set_aside)
+            self._record_decision("set_aside", sampler, progress.set_aside)
 
-    def _decide(self, kind: str, sampler: BackEnd, reason: str) -> None:
+    def _record_decision(self, kind: str, sampler: BackEnd, reason: str) -> None:
         log.warning(kind, extra={"sampler": sampler.name, "reason": reason})
         self._decisions.record(
             Decision(
@@ -252,7 +260,7 @@
         )
 
     async def _switch(self, samplers: list[BackEnd], version: int) -> None:
-        """Switch all at once, when each sampler that answers has the version or is set aside."""
+        """Switch all samplers at once, when each that answers has the version or is set aside."""
         by_name = {sampler.name: sampler for sampler in samplers}
         ready = samplers_to_switch({name: self._progress_of(name, version) for name in by_name})
         await asyncio.gather(*(self._switch_one(by_name[name], version) for name in ready))
@@ -265,13 +273,13 @@
             await self._sampler.switch(sampler.address, version, self._duty.fence)
         except (OrderRefused, OrderFailed) as error:
             log.info("switch failed", extra={"sampler": sampler.name, "error": str(error)})
-            progress.forget_state()
+            progress.reset_state()
             return
         progress.is_serving = True
         progress.switched_at = time.monotonic()
 
     def _publish_set_aside(self, pool: SamplerPool) -> None:
-        """Tell all nodes which samplers are out of routing, as reports of this watcher."""
+        """Publish which samplers are excluded from routing, as reports of this coordinator."""
         reports = []
         for sampler in pool.samplers:
             progress = self._progress.get(sampler.name)
@@ -291,11 +299,11 @@
                     set_aside=progress.set_aside,
                 )
             )
-        self._watch.publish_notes(f"weights/{pool.name}", reports)
+        self._watch.publish_controller_reports(f"weights/{pool.name}", reports)
 
 
 class WeightsController:
-    """Runs one coordinator for each weight policy of the configuration."""
+    """Runs a coordinator for each weight policy of the configuration."""
 
     def __init__(
         self,
@@ -308,29 +316,31 @@
         self._session = session
         self._decisions = decisions
         self._watch = watch
-        self._running: dict[str, tuple[WeightCoordinator, asyncio.Task[None]]] = {}
+        self._coordinators: dict[str, tuple[WeightCoordinator, asyncio.Task[None]]] = {}
 
     async def run(self) -> None:
-        """Start and stop coordinators as policies come and go."""
+        """Start and stop coordinators as policies are added and removed."""
         while True:
-            wanted = self._agent.lease.snapshot.weight_policies
-            for name in list(self._running):
-                if name not in wanted:
-                    coordinator, task = self._running.pop(name)
+            policies = self._agent.lease.snapshot.weight_policies
+            for name in list(self._coordinators):
+                if name not in policies:
+                    coordinator, task = self._coordinators.pop(name)
                     task.cancel()
                     await coordinator.release()
-            for name in wanted:
-                if name not in self._running:
+            for name in policies:
+                if name not in self._coordinators:
                     self._start(name)
-            await asyncio.sleep(POLICY_POLL_S)
+            await asyncio.sleep(POLICY_POLL_INTERVAL_S)
 
     def _start(self, name: str) -> None:
         coordinator = WeightCoordinator(
             self._agent, self._session, name, self._decisions, self._watch
         )
         task = self._agent.tasks.start(coordinator.run(), f"weights {name}")
-        self._running[name] = (coordinator, task)
+        self._coordinators[name] = (coordinator, task)
 
     async def release(self) -> None:
-        """Hand over all duties at a planned stop."""
-        await asyncio.gather(*(coordinator.release() for coordinator, _ in self._running.values()))
+        """Release all duties at a planned stop."""
+        await asyncio.gather(
+            *(coordinator.release() for coordinator, _ in self._coordinators.values())
+        )
--- a/tests/controllers/test_weight_rules.py
+++ b/tests/controllers/test_weight_rules.py
@@ -1,9 +1,9 @@
-"""When a sampler is asked, loaded, switched or set aside."""
+"""When a sampler is queried, loaded, switched or excluded from routing."""
 
 from crankseam.controllers.weight_rules import (
     LOAD_BACKOFF_BASE_S,
-    LOOK_S,
     REPORT_LAG_S,
+    STATE_QUERY_INTERVAL_S,
     SamplerProgress,
     samplers_to_switch,
 )
@@ -13,12 +13,12 @@
 
 def test_a_sampler_of_unknown_state_is_asked_every_few_seconds():
     progress = SamplerProgress(7)
-    assert progress.is_look_due(now=0.0)
-    progress.looked_at = 10.0
-    assert not progress.is_look_due(now=10.0 + LOOK_S - 0.1)
-    assert progress.is_look_due(now=10.0 + LOOK_S)
+    assert progress.is_state_query_due(now=0.0)
+    progress.state_queried_at = 10.0
+    assert not progress.is_state_query_due(now=10.0 + STATE_QUERY_INTERVAL_S - 0.1)
+    assert progress.is_state_query_due(now=10.0 + STATE_QUERY_INTERVAL_S)
     progress.is_known = True
-    assert not progress.is_look_due(now=100.0)
+    assert not progress.is_state_query_due(now=100.0)
 
 
 def test_a_sampler_loads_once_it_is_known_and_not_before_its_pause_is_over():
@@ -26,7 +26,7 @@
     assert not progress.is_load_due(now=1.0)
     progress.is_known = True
     assert progress.is_load_due(now=1.0)
-    progress.note_failed_load(now=1.0)
+    progress.record_failed_load(now=1.0)
     assert 1.0 <= progress.retry_at <= 1.0 + LOAD_BACKOFF_BASE_S
     assert progress.is_load_due(now=progress.retry_at)
     progress.is_loaded = True
@@ -35,9 +35,9 @@
 
 def test_a_sampler_is_set_aside_once_when_it_failed_as_often_as_the_policy_allows():
     progress = SamplerProgress(7, is_known=True)
-    progress.note_failed_load(now=0.0)
+    progress.record_failed_load(now=0.0)
     assert not progress.is_set_aside_due(load_attempts=2)
-    progress.note_failed_load(now=1.0)
+    progress.record_failed_load(now=1.0)
     assert progress.is_set_aside_due(load_attempts=2)
     progress.set_aside = "2 loads of 7 failed"
     assert not progress.is_set_aside_due(load_attempts=2)
--- a/tests/controllers/test_weights.py
+++ b/tests/controllers/test_weights.py
@@ -1,4 +1,4 @@
-"""The weight coordinator: staging ahead, switching, failed loads, the store's rate."""
+"""The weight coordinator: staging, switching, failed loads, and the load on the weight store."""
 
 import aiohttp
 import pytest
@@ -22,7 +22,7 @@
 
 
 class Weights:
-    """A node, a store and samplers under one weight policy."""
+    """A node, a weight store and samplers under one weight policy."""
 
     def __init__(self) -> None:
         self.platform = Platform()
@@ -129,10 +129,11 @@
 
 
 async def test_samplers_are_not_asked_while_nothing_changes(weights):
-    """Found from docs/CAPACITY.md: 200 samplers were asked for their state all the time."""
+    """Guards against queries in every round: docs/CAPACITY.md showed that 200 samplers were queried
+    all the time."""
     await weights.publish(2)
     await eventually(lambda: weights.serving() == [2] * SAMPLERS, "all switched")
-    [(coordinator, _task)] = weights.node.weights._running.values()
+    [(coordinator, _task)] = weights.node.weights._coordinators.values()
     asked = []
     state = coordinator._sampler.state
 
@@ -142,12 +143,12 @@
 
     coordinator._sampler.state = count
     rounds = []
-    wanted = coordinator._wanted_version
+    target_version = coordinator._target_version
 
     async def count_rounds(policy):
         rounds.append(policy)
-        return await wanted(policy)
+        return await target_version(policy)
 
-    coordinator._wanted_version = count_rounds
+    coordinator._target_version = count_rounds
     await eventually(lambda: len(rounds) > 20)
     assert asked == []
