--- a/tests/controllers/test_founding.py
+++ b/tests/controllers/test_founding.py
@@ -1,13 +1,13 @@
-"""When a slot is given up and founded anew."""
+"""When a replica set counts as lost and is re-created."""
 
-from crankseam.controllers.founding import is_lost
+from crankseam.controllers.founding import has_lost_majority
 from crankseam.peers.messages import ReplicaSet
 
 SET = ReplicaSet(3, 1, ["a@10", "b@10", "c@10"], 0)
 
 
 def lost(**newest):
-    return is_lost(SET, newest.get)
+    return has_lost_majority(SET, newest.get)
 
 
 def test_a_slot_is_lost_when_a_majority_of_it_was_followed_by_later_runs():
