--- a/src/crankseam/controllers/duty.py
+++ b/src/crankseam/controllers/duty.py
@@ -1,12 +1,16 @@
-"""A duty that one node holds at a time, under a lease with a fencing token.
+"""Leader election for one duty: a lease in the key-value service with a fencing token.
 
-Owns one key of the key-value service and the lease that it hangs on. Relies on that service alone:
-the duty is read and renewed by calls, three times a term, since nodes follow no keys.
+Explanation
+===========
 
-`coordination/duty` is its counterpart on the users' platform, and differs by intent: there a
-process has one lease for all it holds, learns of the holder by following the keys, leaves the duty
-to a former holder for a moment, and pauses between two holders; here a holder gives up a margin
-before its term instead. The keys differ too, so neither can hold the other's.
+Uses one key of the key-value service and the lease that is attached to it, and no other service.
+Nodes do not watch keys, so a holder renews its lease and a candidate reads the key by calls, three
+times a term.
+
+`coordination/duty` is the counterpart on the users' platform and differs on purpose. There, a
+process has one lease for everything that it holds, learns the holder by watching the keys, gives a
+former holder a short priority and waits between two holders. Here, a holder stops a margin before
+the end of its term instead. The two use different keys, so neither can take the other's duty.
 """
 
 from __future__ import annotations
@@ -22,29 +26,34 @@
 
 log = logging.getLogger(__name__)
 
-SHORTEST_TERM_S = 1
-"""The key-value service grants whole seconds."""
+MIN_TERM_S = 1
+"""The key-value service grants leases in whole seconds."""
 RENEWALS_PER_TERM = 3
-"""Two may fail before the duty is lost. Origin not recorded."""
+"""Two renewals in a row may fail before the duty is lost."""
 RETRY_BASE_S = 0.5
-"""Upper bound of the first pause after a failed call. Origin not recorded."""
+"""Upper bound of the first backoff after a failed call."""
 RETRY_CAP_S = 10.0
-"""Upper bound of any pause, cut to one term. Origin not recorded."""
-SHORTEST_RETRY_S = 0.1
-"""Added to each pause, so that no two calls follow each other at once. Origin not recorded."""
+"""Upper bound of any backoff; a pause is also limited to one term."""
+MIN_RETRY_PAUSE_S = 0.1
+"""Added to each backoff, so that a call is never repeated without a pause."""
 
 
 class Duty:
-    """Competes for one duty and knows whether this node holds it now.
+    """Competes for one duty and tells whether this node holds it now.
+
+    Explanation
+    ===========
+
+    The fencing token is the `create_revision` of the key, which increases with each holder. A
+    recipient of orders can therefore refuse a former holder that resumes after a pause.
 
-    The fencing token is the key's create_revision: it grows with each holder, so that whoever is
-    acted upon can refuse an earlier holder that wakes late.
+    Parameters
+    ==========
 
-    Args:
-        name: what the duty is.
-        holder: identity of this process.
-        term: seconds of the lease.
-        margin: seconds by which the holder gives up earlier than the service.
+    name : name of the duty, which determines its key.
+    holder : identity of this process.
+    term : duration of the lease in seconds.
+    margin : seconds by which the holder stops before the service ends the lease.
     """
 
     def __init__(
@@ -54,7 +63,7 @@
         self.name = name
         self._key = f"{DUTY_PREFIX}{name}"
         self._holder = holder
-        self._term = max(SHORTEST_TERM_S, round(term))
+        self._term = max(MIN_TERM_S, round(term))
         self._margin = margin
         self._lease = 0
         self._held_until = 0.0
@@ -62,29 +71,29 @@
         self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
 
     def is_held(self) -> bool:
-        """Whether this node may act now. Ask again directly before each act."""
+        """Whether this node may act for the duty now. Check again directly before each action."""
         return clocks.promised_s() < self._held_until
 
     async def run(self) -> None:
-        """Acquire, renew, and compete again when lost, until cancelled."""
+        """Acquire the duty, renew it, and compete again after its loss, until cancelled."""
         while True:
             try:
-                await self._step()
+                await self._renew_or_acquire()
                 self._backoff.reset()
                 await asyncio.sleep(self._term / RENEWALS_PER_TERM)
             except KeyValueError:
-                await asyncio.sleep(min(self._backoff.next_delay() + SHORTEST_RETRY_S, self._term))
+                await asyncio.sleep(min(self._backoff.next_delay() + MIN_RETRY_PAUSE_S, self._term))
 
-    async def _step(self) -> None:
+    async def _renew_or_acquire(self) -> None:
         if self._lease and await self._renew():
             return
         await self._acquire()
 
     async def _renew(self) -> bool:
-        asked_at = clocks.promised_s()
+        requested_at = clocks.promised_s()
         if await self._key_value.keep_alive(self._lease):
             if self.fence:
-                self._held_until = asked_at + self._term - self._margin
+                self._held_until = requested_at + self._term - self._margin
             return bool(self.fence)
         self._lease = 0
         self.fence = 0
@@ -94,11 +103,11 @@
     async def _acquire(self) -> None:
         current = await self._key_value.get(self._key)
         if current is not None:
-            # Ours if an earlier answer was lost after the write took effect.
+            # The key holds this node's value if the answer to an earlier write was lost.
             if current.value.decode() == f"{self._holder}/{self._lease}" and self._lease:
                 self.fence = current.create_revision
             return
-        asked_at = clocks.promised_s()
+        requested_at = clocks.promised_s()
         if not self._lease:
             self._lease = await self._key_value.grant_lease(self._term)
         value = f"{self._holder}/{self._lease}".encode()
@@ -110,11 +119,11 @@
         written = await self._key_value.get(self._key)
         if written is not None and written.value == value:
             self.fence = written.create_revision
-            self._held_until = asked_at + self._term - self._margin
+            self._held_until = requested_at + self._term - self._margin
             log.info("duty acquired", extra={"duty": self.name, "fence": self.fence})
 
     async def release(self) -> None:
-        """Give the duty up at once, so that another node need not wait for the term."""
+        """Release the duty at once, so that another node need not wait for the end of the term."""
         self._held_until = 0.0
         if self._lease:
             lease, self._lease, self.fence = self._lease, 0, 0
--- a/tests/controllers/test_duty.py
+++ b/tests/controllers/test_duty.py
@@ -1,4 +1,4 @@
-"""Duties under a lease with a fencing token."""
+"""Leader election by a lease with a fencing token."""
 
 import asyncio
 
@@ -45,7 +45,7 @@
     second = compete("b@1")
     fence = first.fence
     await first.release()
-    first._step = lambda: asyncio.sleep(0)  # paused: it competes no more
+    first._renew_or_acquire = lambda: asyncio.sleep(0)  # paused, competes no more
     await eventually(second.is_held)
     assert second.fence > fence
     assert not first.is_held()
