--- a/src/crankseam/controllers/__init__.py
+++ b/src/crankseam/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers that reconcile target state with current state."""
+"""Control loops that reconcile the current state with the desired state."""
--- a/src/crankseam/controllers/machines.py
+++ b/src/crankseam/controllers/machines.py
@@ -1,7 +1,10 @@
-"""Follows the platform's machine list: leaving machines leave routing.
+"""Polls the platform's machine list and takes back ends on leaving machines out of routing.
 
-Owns which hosts the router is told are leaving. Relies on the list, which lags and may be down: an
-empty answer changes nothing.
+Explanation
+===========
+
+Sets the hosts that the router treats as leaving. The machine list lags and may be unavailable, so
+an empty answer changes nothing.
 """
 
 from __future__ import annotations
@@ -15,7 +18,7 @@
 
 
 class MachineListController:
-    """Polls the list; it lags, so it only ever adds a reason against a back end."""
+    """Polls the machine list; as the list lags, it only excludes back ends and never admits one."""
 
     def __init__(self, agent: ClusterAgent, router: Router) -> None:
         self._agent = agent
