--- a/src/crankseam/controllers/suspects.py
+++ b/src/crankseam/controllers/suspects.py
@@ -1,9 +1,13 @@
-"""Keeps this node's quarantine: told to all nodes by messages, kept in the key-value service.
+"""Replicates a node's quarantine: by messages to all nodes, and through the key-value service.
 
-Nodes do not follow the key-value service one by one: who changes a suspect writes it there and
-tells the others. A node reads them all when it starts, and now and then, in case a message was
-lost. What is held back and how it is released is in `quarantine/`; on the users' platform the same
-parts follow the store instead of being told.
+Explanation
+===========
+
+Nodes do not watch keys of the key-value service individually. A node that changes a suspect writes
+the change to the service and sends it to all other nodes. Each node also reads all suspects when it
+starts and periodically after that, in case a message was lost. `quarantine/` decides which requests
+are held back and how they are released. On the users' platform the same components watch the store
+instead of receiving messages.
 """
 
 from __future__ import annotations
@@ -22,16 +26,16 @@
 
 log = logging.getLogger(__name__)
 
-READ_S = 60.0
-"""Between two readings of all suspects: 420 nodes then make 7 calls a second together."""
-READ_RETRY_S = 1.0
-"""After a reading that failed. Origin not recorded."""
-TOLD_AT_ONCE = 32
-"""Peers that are told at one time. Origin not recorded."""
+READ_INTERVAL_S = 60.0
+"""Time between two reads of all suspects. At 420 nodes this makes 7 calls per second in total."""
+READ_RETRY_DELAY_S = 1.0
+"""Time until the next read after a failed one."""
+MAX_CONCURRENT_NOTIFICATIONS = 32
+"""Peers to which a change is sent concurrently."""
 
 
 class SuspectController:
-    """The quarantine of one node, and its ways to the others and to the service."""
+    """Connects the quarantine of one node to the other nodes and to the key-value service."""
 
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
@@ -39,56 +43,58 @@
         self._parts = make_quarantine(
             KeyValueTransactions(agent.key_value),
             STATE_PREFIX,
-            self._tell_all,
+            self._notify_peers,
             self._supervisor,
             lambda: agent.membership.order.is_first_of_region(),
             is_followed=False,
         )
         self.quarantine = self._parts.quarantine
-        agent.transport.handle(TellSuspects, self._on_told)
+        agent.transport.handle(TellSuspects, self._on_suspects)
 
     async def run(self) -> None:
-        """Publish what is seen here and read what others wrote, until cancelled."""
+        """Publish suspects found by this node and read those of other nodes, until cancelled."""
         self._parts.start(self._supervisor)
         try:
             while True:
-                pause_s = await self._read()
+                pause_s = await self._read_suspects()
                 await asyncio.sleep(pause_s)
         finally:
             await self._supervisor.stop()
 
-    async def _read(self) -> float:
-        """Read all; returns the seconds until the next reading."""
+    async def _read_suspects(self) -> float:
+        """Read all suspects; return the seconds until the next read."""
         try:
-            found = await self._agent.key_value.get_all(self.quarantine.prefix)
+            entries = await self._agent.key_value.get_all(self.quarantine.prefix)
         except KeyValueError as error:
             log.info("suspects not read", extra={"error": type(error).__name__})
-            return READ_RETRY_S
-        self.quarantine.take_all([as_entry(one) for one in found])
-        return READ_S * random.uniform(0.9, 1.1)
+            return READ_RETRY_DELAY_S
+        self.quarantine.take_all([as_entry(entry) for entry in entries])
+        return READ_INTERVAL_S * random.uniform(0.9, 1.1)
 
-    async def _tell_all(self, raw: bytes) -> None:
-        own = self._agent.settings.name
-        members = [member for member in self._agent.digest.alive() if member.name != own]
-        places = asyncio.Semaphore(TOLD_AT_ONCE)
-        await asyncio.gather(*(self._tell(member, raw, places) for member in members))
+    async def _notify_peers(self, encoded: bytes) -> None:
+        own_name = self._agent.settings.name
+        peers = [peer for peer in self._agent.digest.alive() if peer.name != own_name]
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_NOTIFICATIONS)
+        await asyncio.gather(*(self._notify_peer(peer, encoded, semaphore) for peer in peers))
 
-    async def _tell(self, member: Member, raw: bytes, places: asyncio.Semaphore) -> None:
-        async with places:
+    async def _notify_peer(
+        self, peer: Member, encoded: bytes, semaphore: asyncio.Semaphore
+    ) -> None:
+        async with semaphore:
             try:
                 await self._agent.transport.call_for(
-                    member.peer_address,
-                    TellSuspects(raw),
+                    peer.peer_address,
+                    TellSuspects(encoded),
                     Done,
                     self._agent.settings.timing.peer_timeout,
                 )
             except PeerError as error:
                 log.info(
                     "suspects not told",
-                    extra={"peer": member.name, "error": type(error).__name__},
+                    extra={"peer": peer.name, "error": type(error).__name__},
                 )
 
-    async def _on_told(self, _peer: str, message: AnyMessage) -> AnyMessage:
+    async def _on_suspects(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, TellSuspects)
         await self._parts.publisher.serve(message.news)
         return Done()
