--- a/tests/controllers/test_replica_placement.py
+++ b/tests/controllers/test_replica_placement.py
@@ -1,10 +1,10 @@
-"""For how long a replica set may be unfit before a member moves it."""
+"""How long a replica set may differ from the desired one before a member moves it."""
 
-from crankseam.controllers.replica_placement import move_patience
+from crankseam.controllers.replica_placement import required_wait_s
 
 
 def test_each_further_member_waits_one_delay_more():
-    assert [move_patience(1.5, position, is_leaving=False) for position in range(3)] == [
+    assert [required_wait_s(1.5, position, is_leaving=False) for position in range(3)] == [
         1.5,
         3.0,
         4.5,
@@ -12,4 +12,4 @@
 
 
 def test_a_leaving_member_moves_at_once():
-    assert move_patience(1.5, 2, is_leaving=True) == 0.0
+    assert required_wait_s(1.5, 2, is_leaving=True) == 0.0
