--- a/src/crankseam/controllers/retention.py
+++ b/src/crankseam/controllers/retention.py
@@ -1,7 +1,10 @@
-"""Bounds memory: drops records that are older than the retention, and stale digest entries.
+"""Bounds memory use: drops records older than the retention period and stale digest entries.
 
-Owns the interval of the sweep. Relies on the replica store and the digest to drop what it names,
-and on the file of known peers, which it renews on the way.
+Explanation
+===========
+
+The replica store drops the records, and the digest drops long-dead members and unused or stale
+reports. Each sweep also rewrites the file of known peers.
 """
 
 from __future__ import annotations
@@ -12,15 +15,15 @@
 from crankseam.cluster.agent import ClusterAgent
 from crankseam.controllers.back_end_watch import all_targets
 
-SWEEP_S = 5.0
-"""Between two sweeps. Origin not recorded."""
+SWEEP_INTERVAL_S = 5.0
+"""Time between two sweeps."""
 REPORT_RETENTION_S = 30.0
-"""Reports of back ends are dropped after this: twice the longest time between two sendings of an
-unchanged one (`back_end_watch.SECOND_RENEW_S`)."""
+"""Reports on back ends are dropped after this time: twice the longest time between two publications
+of an unchanged report (`back_end_watch.SECOND_WATCHER_REFRESH_S`)."""
 
 
 class RetentionController:
-    """Sweeps at a fixed interval."""
+    """Drops expired records and stale digest entries at a fixed interval."""
 
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
@@ -28,14 +31,14 @@
     async def run(self) -> None:
         """Sweep until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sweep()
 
     def sweep(self) -> None:
-        """Drop what is too old."""
+        """Drop expired records and stale digest entries, and save the addresses of peers."""
         retention_ms = round(self._agent.settings.timing.record_retention * 1000)
         self._agent.replicas.forget_before(clocks.wall_ms() - retention_ms)
-        known = {target.name for target in all_targets(self._agent.lease.snapshot)}
-        self._agent.digest.purge(known, REPORT_RETENTION_S)
+        target_names = {target.name for target in all_targets(self._agent.lease.snapshot)}
+        self._agent.digest.purge(target_names, REPORT_RETENTION_S)
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
         self._agent.known_peers.save([member.peer_address for member in members])
