--- a/tests/controllers/test_limit_shares.py
+++ b/tests/controllers/test_limit_shares.py
@@ -1,4 +1,4 @@
-"""Shares of a limit: what a node asks for, and that the sum never passes the limit."""
+"""Shares of a limit: how much a node requests, and that the sum never exceeds the limit."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
     MIN_HEADROOM,
     LimitShare,
     ShareTable,
-    wanted_amount,
+    requested_amount,
 )
 
 TERM = 5.0
@@ -23,29 +23,29 @@
 
 
 def test_an_idle_node_asks_for_the_smallest_headroom():
-    assert wanted_amount(0, wants_more=False, others_want_more=False) == MIN_HEADROOM
+    assert requested_amount(0, wants_more=False, others_want_more=False) == MIN_HEADROOM
 
 
 def test_a_node_that_was_refused_one_asks_for_twice_the_headroom():
-    assert wanted_amount(10, wants_more=False, others_want_more=False) == 15
-    assert wanted_amount(10, wants_more=True, others_want_more=True) == 20
+    assert requested_amount(10, wants_more=False, others_want_more=False) == 15
+    assert requested_amount(10, wants_more=True, others_want_more=True) == 20
 
 
 def test_while_another_wants_more_a_node_that_does_not_keeps_no_headroom():
-    assert wanted_amount(10, wants_more=False, others_want_more=True) == 10
+    assert requested_amount(10, wants_more=False, others_want_more=True) == 10
 
 
-def renewed(share, table, asked_at):
+def renewed(share, table, requested_at):
     table = share.renew_in(table)
     share.prepare_renewal(table.shares[share.holder].amount)
-    share.confirm(table, asked_at)
+    share.confirm(table, requested_at)
     return table
 
 
 def test_a_share_that_is_not_renewed_is_taken_back_a_margin_after_its_holder_stopped():
     clock = Clock()
     first, second = (LimitShare(name, 2, TERM, MARGIN, clock) for name in ("a", "b"))
-    first.used = 1
+    first.in_flight = 1
     table = renewed(first, ShareTable(), clock.now)
     assert first.amount() == 2
     table = renewed(second, table, clock.now)
@@ -58,14 +58,15 @@
 
 
 def lost(share, table):
-    """A renewal that is agreed on and whose answer does not come back."""
+    """Renew a share so that the renewal is agreed on but its confirmation is lost."""
     table = share.renew_in(table)
     share.prepare_renewal(table.shares[share.holder].amount)
     return table
 
 
 def test_a_renewal_after_a_lost_one_shows_that_its_holder_lives():
-    """Else another node takes the share back while its holder may still use it."""
+    """Guards against a renewal that repeats the sequence of a lost one: another node would take the
+    holder for dead and reclaim its share while the holder may still use it."""
     clock, total = Clock(), 4
     first, second = (LimitShare(name, total, TERM, MARGIN, clock) for name in ("a", "b"))
     table = lost(second, ShareTable())
@@ -73,7 +74,7 @@
     second.try_acquire()
     clock.now += 2.0
     table = renewed(second, table, clock.now)
-    first.used = 2
+    first.in_flight = 2
     clock.now += 4.0
     renewed(first, table, clock.now)
     assert first.amount() + second.amount() <= total
@@ -90,7 +91,7 @@
     )
 )
 def test_the_shares_in_use_never_pass_the_limit(steps):
-    """Nodes renew at any time and stop renewing at any time; answers to renewals may be lost."""
+    """Nodes start and stop renewing at any time, and confirmations of renewals may be lost."""
     clock, total = Clock(), 4
     shares = [LimitShare(f"node-{n}", total, TERM, MARGIN, clock) for n in range(3)]
     table = ShareTable()
@@ -99,7 +100,7 @@
         share = shares[index]
         if kind == "start":
             share.try_acquire()
-        elif kind == "end" and share.used:
+        elif kind == "end" and share.in_flight:
             share.release()
         elif kind == "renew":
             table = renewed(share, table, clock.now)
