--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -136,8 +136,8 @@
 
     def _agreed_sequence(self, table: ShareTable) -> int:
         """Return the sequence of this node's last agreed renewal, confirmed or not."""
-        current = table.shares.get(self.holder)
-        return current.sequence if current is not None else 0
+        standing = table.shares.get(self.holder)
+        return standing.sequence if standing is not None else 0
 
     def _has_lapsed(self, holder: str, share: Share) -> bool:
         now = self._clock()
@@ -219,8 +219,8 @@
         requested_at = clocks.promised_s()
         record_key = self._agent.locate(f"limit/{limit.name}")
 
-        def change(current: bytes | None) -> bytes:
-            table = msgspec.msgpack.decode(current, type=ShareTable) if current else ShareTable()
+        def change(standing: bytes | None) -> bytes:
+            table = msgspec.msgpack.decode(standing, type=ShareTable) if standing else ShareTable()
             renewed = share.renew_in(table)
             share.prepare_renewal(renewed.shares[share.holder].amount)
             return msgspec.msgpack.encode(renewed)
--- a/src/crankseam/controllers/replica_placement.py
+++ b/src/crankseam/controllers/replica_placement.py
@@ -36,17 +36,17 @@
 """A set that has been sealed for this many delays counts as an interrupted move."""
 
 
-def required_wait_s(delay: float, replicas_ahead: int, is_leaving: bool) -> float:
+def required_wait_s(delay: float, position: int, is_leaving: bool) -> float:
     """Return the seconds for which a set must differ from the desired one before it is moved.
 
     Parameters
     ==========
 
     delay : `timing.replica_move_delay` in seconds.
-    replicas_ahead : number of live replicas of the set with a lower rank than this node.
+    position : number of live replicas of the set with a lower rank than this node.
     is_leaving : whether this node is leaving.
     """
-    return 0.0 if is_leaving else delay * (1 + replicas_ahead)
+    return 0.0 if is_leaving else delay * (1 + position)
 
 
 class ReplicaPlacementController:
@@ -80,7 +80,7 @@
                 return
 
     def is_needed(self) -> bool:
-        """Whether this node is a replica of a slot that its region's alive members can take over."""
+        """Whether this node still has an unsealed slot while its region has alive members."""
         if len(self._agent.digest.alive_in_region(self._agent.settings.region)) == 0:
             return False
         identity = self._agent.identity
@@ -107,8 +107,8 @@
             self._misplaced_since.pop(replica_set.slot, None)
             return False
         since = self._misplaced_since.setdefault(replica_set.slot, time.monotonic())
-        replicas_ahead = self._live_replicas_ahead(replica_set)
-        wait_s = required_wait_s(self._move_delay, replicas_ahead, self._agent.is_leaving)
+        position = self._live_replicas_ahead(replica_set)
+        wait_s = required_wait_s(self._move_delay, position, self._agent.is_leaving)
         return time.monotonic() - since >= wait_s
 
     def _live_replicas_ahead(self, replica_set: ReplicaSet) -> int:
--- a/src/crankseam/controllers/suspects.py
+++ b/src/crankseam/controllers/suspects.py
@@ -73,17 +73,17 @@
 
     async def _notify_peers(self, encoded: bytes) -> None:
         own_name = self._agent.settings.name
-        peers = [peer for peer in self._agent.digest.alive() if peer.name != own_name]
+        members = [member for member in self._agent.digest.alive() if member.name != own_name]
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_NOTIFICATIONS)
-        await asyncio.gather(*(self._notify_peer(peer, encoded, semaphore) for peer in peers))
+        await asyncio.gather(*(self._notify_peer(member, encoded, semaphore) for member in members))
 
     async def _notify_peer(
-        self, peer: Member, encoded: bytes, semaphore: asyncio.Semaphore
+        self, member: Member, encoded: bytes, semaphore: asyncio.Semaphore
     ) -> None:
         async with semaphore:
             try:
                 await self._agent.transport.call_for(
-                    peer.peer_address,
+                    member.peer_address,
                     TellSuspects(encoded),
                     Done,
                     self._agent.settings.timing.peer_timeout,
@@ -91,7 +91,7 @@
             except PeerError as error:
                 log.info(
                     "suspects not told",
-                    extra={"peer": peer.name, "error": type(error).__name__},
+                    extra={"peer": member.name, "error": type(error).__name__},
                 )
 
     async def _on_suspects(self, _peer: str, message: AnyMessage) -> AnyMessage:
