--- a/src/crankseam/records/reconfigurer.py
+++ b/src/crankseam/records/reconfigurer.py
@@ -115,7 +115,7 @@
         answers = await asyncio.gather(*reads)
         states = [answer for answer in answers if answer is not None]
         if len(states) < majority(current):
-            raise NoQuorum(f"only {len(states)} replicas of slot {current.slot} were sealed")
+            raise NoQuorum(f"sealed {len(states)} replicas of slot {current.slot}")
         return merge_states(states)
 
     async def _read_state(
@@ -140,7 +140,7 @@
             *(self._send_pages(m, agreed, pages) for m in agreed.members)
         )
         if sum(answers) < majority(agreed):
-            raise NoQuorum(f"state installed on only {sum(answers)} replicas of slot {agreed.slot}")
+            raise NoQuorum(f"installed {sum(answers)} replicas of slot {agreed.slot}")
 
     async def _send_pages(self, member: str, agreed: ReplicaSet, pages: list[SlotState]) -> bool:
         for page in pages:
--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -194,7 +194,7 @@
         try:
             claim = await self._claims.claim(context)
         except RecordExpired:
-            raise IdentifierExpired("the key is older than the time for which records are kept")
+            raise IdentifierExpired("the key is older than what is remembered")
         except RecordError as error:
             # The claim may hold without this node's knowledge. The node does not forward the
             # request; RefusalFilter tries to commit `not_run` before the caller is told so.
--- a/src/crankseam/requests/claim_rules.py
+++ b/src/crankseam/requests/claim_rules.py
@@ -96,12 +96,12 @@
         detail = "an earlier attempt was claimed and has not ended"
         return StillRunning(detail, OUTCOME_UNKNOWN, retry_after.RECORD_S)
     if record.state == RequestState.UNKNOWN:
-        return OutcomeUnknown("the request was forwarded and its answer was lost", OUTCOME_UNKNOWN)
+        return OutcomeUnknown("it was forwarded and its answer was lost", OUTCOME_UNKNOWN)
     if record.state == RequestState.NOT_RUN:
         detail = "this attempt was not run; try again with a new Request-Id"
         return Unavailable(detail, OUTCOME_NOT_RUN, retry_after.RECORD_S)
     if record.body is None:
-        return OutcomeUnknown("the request ran; its answer was too large to store", OUTCOME_RUN)
+        return OutcomeUnknown("it ran; its answer was too large to keep", OUTCOME_RUN)
     return None
 
 
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -156,7 +156,7 @@
         remaining = context.remaining()
         if not has_time_to_forward(remaining):
             outcome = context.outcome_so_far()
-            detail = "the deadline passed before the request was forwarded"
+            detail = "the deadline passed before it was forwarded"
             raise DeadlineExceeded(detail, outcome, retry_after.PAST_DEADLINE_S)
         self._router.start(target)
         try:
--- a/src/crankseam/requests/home_region.py
+++ b/src/crankseam/requests/home_region.py
@@ -51,7 +51,9 @@
             return await call_next(context)
         context.has_remote_home = True
         if FORWARDED_HEADER in context.http.headers:
-            detail = f"this node is not in {home_region}; the request was forwarded once already"
+            detail = (
+                f"this node is not in {home_region}, and the request was passed on once already"
+            )
             raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.OTHER_REGION_S)
         members = list(self._agent.digest.alive_in_region(home_region))
         self._random.shuffle(members)
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -62,7 +62,7 @@
             raise BadRequest(detail, OUTCOME_NOT_RUN)
         age_ms = clocks.wall_ms() - dated
         if age_ms > self._retention_ms:
-            raise IdentifierExpired("the key is older than the time for which records are kept")
+            raise IdentifierExpired("the key is older than what is remembered")
         if age_ms < -MAX_FUTURE_SKEW_MS:
             raise BadRequest(f"{IDEMPOTENCY_HEADER} is dated in the future", OUTCOME_NOT_RUN)
         return dated
@@ -77,7 +77,7 @@
         allowed_s = DEFAULT_DEADLINE_S
         if deadline_text is not None:
             if not deadline_text.isdecimal() or len(deadline_text) > MAX_DEADLINE_DIGITS:
-                raise BadRequest(f"{DEADLINE_HEADER} must be whole milliseconds", OUTCOME_NOT_RUN)
+                raise BadRequest(f"{DEADLINE_HEADER}: whole milliseconds", OUTCOME_NOT_RUN)
             allowed_s = int(deadline_text) / 1000
         context.deadline = context.arrived + allowed_s
         return await call_next(context)
