--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -203,9 +203,9 @@
             entry = await self._store.get(self._duty.holder_key)
         except KeyValueError as error:
             # The error is logged in the outcome of the order; the order is given again.
-            return f"refused; reading the duty holder failed ({type(error).__name__})"
+            return f"refused, and the store did not say why ({type(error).__name__})"
         if entry is None or entry.revision != fence:
             self._duty.refuse(fence)
             return "fenced"
         self._exhausted_zones.mark_exhausted(order.service, order.zone, time.monotonic())
-        return "zone exhausted"
+        return "none to be had"
--- a/src/crankseam/scaling/plan.py
+++ b/src/crankseam/scaling/plan.py
@@ -125,4 +125,4 @@
 
 
 def _order(service: str, zone: str, kind: Kind, count: int, desired: int) -> Order:
-    return Order(service, zone, kind, count, f"zone's share of {desired} samplers needed in total")
+    return Order(service, zone, kind, count, f"its part of {desired} samplers of the service")
