--- a/src/crankseam/serving/log_events.py
+++ b/src/crankseam/serving/log_events.py
@@ -61,9 +61,11 @@
     "store_lost": LogEvent("The store stopped responding to this process.", ("error",)),
     "store_regained": LogEvent("The store responds again; watches are restarted."),
     "store_through_peers": LogEvent(
-        "The store does not respond to this process; calls go through a peer.", ("peer",)
+        "The store does not serve this process: it refuses or does not answer. Calls go through a"
+        " peer.",
+        ("peer",),
     ),
-    "store_direct_again": LogEvent("The store responds to this process directly again."),
+    "store_direct_again": LogEvent("The store serves this process directly again."),
     "watcher_avoided": LogEvent(
         "A process that watches the store for others, or relays calls, is not asked for some time.",
         ("peer", "error"),
