--- a/src/crankseam/coordination/watch_roles.py
+++ b/src/crankseam/coordination/watch_roles.py
@@ -30,8 +30,8 @@
 when the first is unavailable. One watcher for every 40 processes would mean five watchers with 165
 processes, and eleven with 420."""
 MIN_PROCESSES_FOR_SHARING = 4
-"""With fewer processes each one watches the store, because sharing would save little: with nine
-processes, two watchers reduced the price of the calls by 0.02 of the worth of a day."""
+"""With fewer processes each one watches the store, because sharing would save little. With nine
+processes, two watchers still reduced the cost of the calls."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crankseam/jobs/listing_moments.py
+++ b/src/crankseam/jobs/listing_moments.py
@@ -27,7 +27,7 @@
 MAX_LISTING_DELAY_S = 2.0
 """Results that finish within this time are listed by one write while they can't end the step. This
 cut the time from the last listing to the end of the step from 0.601 to 0.379 s, and the store calls
-of a benchmark day from 4,326 to 4,183."""
+of a day from 4,326 to 4,183."""
 GROUP_LISTING_DELAY_S = 0.08
 """Delay of a complete group once the step can end, so that groups that complete at about the same
 time share one write."""
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -24,8 +24,7 @@
 
 SAVE_INTERVAL_S = 0.8
 """Seconds between two saves of the partial texts: up to this much of each item's run is repeated
-after its process was killed. Resuming from saved texts raised the `worth` score of a benchmark site
-from 0.706 to 0.892."""
+after its process was killed. Without saved texts, all of its run is repeated."""
 ITEM_RESTART_DELAY_S = 0.5
 """Delay before an item is restarted whose task failed with an unexpected exception."""
 
--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -34,8 +34,8 @@
 NEW_ITEM_SLOTS_SHARE = 0.84
 """Share of a sampler's slots that items may fill that have not started and are not long. The
 remaining slots are reserved for interrupted runs and long items, which a step waits for and which
-would otherwise queue behind short ones. In eight simulated days with faults, this raised the metric
-`worth` from 0.763 to 0.790 and cut the mean step time from 7.36 to 7.15 s (docs/DECISIONS.md)."""
+would otherwise queue behind short ones. In eight simulated days with faults, this cut the mean step
+time from 7.36 to 7.15 s (docs/DECISIONS.md)."""
 SCORING_SLOTS_SHARE = 0.5
 """Share of a back end's slots that scoring requests may fill. Callers' requests use the same back
 ends, and find the other half free even if many items finish at the same time."""
