--- a/src/crankseam/serving/settings.py
+++ b/src/crankseam/serving/settings.py
@@ -23,8 +23,8 @@
     callers: str = ""
     """Accepts the connections of callers."""
     readiness: str = ""
-    """Answers the readiness checks of the load balancer in front of the deployment, which ask whether
-    this process accepts new connections."""
+    """Answers the readiness checks of the load balancer in front, which ask whether this process
+    accepts new connections."""
     metrics: str = ""
     peers: str = ""
     """Accepts the connections of other processes of the deployment."""
