--- a/src/crankseam/serving/suspension.py
+++ b/src/crankseam/serving/suspension.py
@@ -46,14 +46,14 @@
     Attributes
     ==========
 
-    on_woken : callbacks that are invoked after each suspension.
+    on_resume : callbacks that are invoked after each suspension.
     """
 
     def __init__(self, confirmed_at: Callable[[], float]) -> None:
         self._confirmed_at = confirmed_at
         self._offset_s = self._clock_offset_s()
         self._resumed_at = float("-inf")
-        self.on_woken: list[Callable[[], None]] = []
+        self.on_resume: list[Callable[[], None]] = []
 
     @staticmethod
     def _clock_offset_s() -> float:
@@ -67,10 +67,10 @@
             return
         self._resumed_at = clocks.promised_s()
         log.warning("suspended", extra={"seconds": round(suspended_s, 3)})
-        for notify in self.on_woken:
+        for notify in self.on_resume:
             notify()
 
-    async def settle(self) -> None:
+    async def wait_until_confirmed(self) -> None:
         """Wait until the configuration is confirmed if the machine was suspended.
 
         Called before each request is served.
--- a/tests/serving/test_suspension.py
+++ b/tests/serving/test_suspension.py
@@ -28,7 +28,7 @@
 
 async def test_a_suspension_is_noticed_once_and_told(suspend):
     watch, notified = SuspensionWatch(lambda: 0.0), []
-    watch.on_woken.append(lambda: notified.append(1))
+    watch.on_resume.append(lambda: notified.append(1))
     watch.check()
     suspend(3.0)
     watch.check()
@@ -41,9 +41,9 @@
     confirmation.confirm()
     watch = SuspensionWatch(lambda: confirmation.at)
     async with asyncio.timeout(1):
-        await watch.settle()
+        await watch.wait_until_confirmed()
     suspend(3.0)
-    waiting = asyncio.create_task(watch.settle())
+    waiting = asyncio.create_task(watch.wait_until_confirmed())
     await asyncio.sleep(0.05)
     assert not waiting.done()
     confirmation.confirm()
@@ -55,6 +55,6 @@
     watch = SuspensionWatch(lambda: 0.0)
     suspend(3.0)
     async with asyncio.timeout(2):
-        await watch.settle()
+        await watch.wait_until_confirmed()
     async with asyncio.timeout(0.1):
-        await watch.settle()
+        await watch.wait_until_confirmed()
