--- a/src/crankseam/jobs/placement.py
+++ b/src/crankseam/jobs/placement.py
@@ -126,7 +126,7 @@
         output of a step's items is sent several times, so large machines run the jobs.
     ask : sends bytes to another process and returns the answer.
     find_route : returns a job's route in the newest configuration, None if there is none.
-    is_behind : whether this process lacks processor time for its current work.
+    is_overloaded : whether this process lacks processor time for its current work.
     """
 
     def __init__(
@@ -136,14 +136,14 @@
         processes: Callable[[], dict[str, float]],
         ask: ProcessAsker,
         find_route: RouteFinder,
-        is_behind: Callable[[], bool],
+        is_overloaded: Callable[[], bool],
     ) -> None:
         self._jobs = jobs
         self._process = process
         self._processes = processes
         self._ask_process = ask
         self._find_route = find_route
-        self._is_behind = is_behind
+        self._is_overloaded = is_overloaded
         self._avoid_until: dict[str, float] = {}
 
     async def submit(self, job: JobDefinition, deadline: float) -> None:
@@ -204,7 +204,7 @@
         return msgspec.msgpack.encode(SubmissionAnswer(await self._accept(submission)))
 
     async def _accept(self, submission: Submission) -> Outcome:
-        if self._is_behind() or not self._jobs.has_room(len(submission.job.items)):
+        if self._is_overloaded() or not self._jobs.has_room(len(submission.job.items)):
             return Outcome.NOT_ACCEPTED
         try:
             await self._jobs.submit(submission.job, clocks.promised_s() + submission.wait_s)
--- a/src/crankseam/serving/loop_lag.py
+++ b/src/crankseam/serving/loop_lag.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.smoothed_s = 0.0
 
-    def is_behind(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether this process is overloaded and should accept only mandatory work."""
         return self.smoothed_s > OVERLOAD_LAG_S
 
--- a/tests/serving/test_loop_lag.py
+++ b/tests/serving/test_loop_lag.py
@@ -9,13 +9,13 @@
 def test_one_late_timer_is_no_overload_and_many_are():
     lag = LoopLag()
     lag.add_sample(0.2)
-    assert not lag.is_behind()
+    assert not lag.is_overloaded()
     for _ in range(4):
         lag.add_sample(0.2)
-    assert lag.is_behind()
+    assert lag.is_overloaded()
     for _ in range(6):
         lag.add_sample(0.0)
-    assert not lag.is_behind()
+    assert not lag.is_overloaded()
 
 
 async def test_a_loop_that_is_held_up_shows(monkeypatch):
@@ -30,6 +30,6 @@
     lag = LoopLag()
     running = asyncio.create_task(lag.run())
     try:
-        await eventually(lambda: lag.is_behind())
+        await eventually(lambda: lag.is_overloaded())
     finally:
         running.cancel()
