--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -303,7 +303,7 @@
                 if last_event_at is None:
                     warm_at = now + WARM_UP_S
                 elif now >= warm_at:
-                    self._dispatcher.paces.seen(back_end, now - last_event_at)
+                    self._dispatcher.paces.record_interval(back_end, now - last_event_at)
                 last_event_at = now
                 self._take(event)
                 back_end.runs[self.item.id] = self._run_size()
--- a/src/crankseam/jobs/pace_sharing.py
+++ b/src/crankseam/jobs/pace_sharing.py
@@ -78,7 +78,7 @@
                 table = msgspec.msgpack.decode(entry.value, type=dict[str, float])
             except msgspec.DecodeError:
                 log.warning("paces_malformed", extra={"key": key})
-        self._paces.told(key.removeprefix(PACE_PREFIX), table)
+        self._paces.update_from_process(key.removeprefix(PACE_PREFIX), table)
 
     async def run(self) -> None:
         """Publish this process's table whenever it has changed, until cancelled."""
--- a/src/crankseam/serving/paces.py
+++ b/src/crankseam/serving/paces.py
@@ -76,7 +76,7 @@
         self._peer_tables: dict[str, dict[str, float]] = {}
         """Tables of paces received from other processes, by process."""
 
-    def seen(self, back_end: BackEnd, interval_s: float) -> None:
+    def record_interval(self, back_end: BackEnd, interval_s: float) -> None:
         """Record the interval between two events of a run at a sampler."""
         interval_s = max(interval_s, MIN_INTERVAL_S)
         now = time.monotonic()
@@ -86,7 +86,7 @@
         else:
             observation.add_interval(interval_s, now)
 
-    def told(self, process: str, table: dict[str, float]) -> None:
+    def update_from_process(self, process: str, table: dict[str, float]) -> None:
         """Store the table of another process; an empty table deletes the previous one."""
         self._peer_tables[process] = table
         if not table:
--- a/tests/jobs/test_dispatcher.py
+++ b/tests/jobs/test_dispatcher.py
@@ -21,8 +21,8 @@
     fast, slower = registry.of_service("svc")
     dispatcher = Dispatcher(registry, "z")
     for _ in range(20):
-        dispatcher.paces.seen(fast, 0.037)
-        dispatcher.paces.seen(slower, 0.048)
+        dispatcher.paces.record_interval(fast, 0.037)
+        dispatcher.paces.record_interval(slower, 0.048)
     fast.in_flight = 5
     dispatching = asyncio.create_task(dispatcher.run())
     try:
@@ -41,8 +41,8 @@
         registry.update(BackEndRecord(name, "svc", "1.1.1.1:1", "z", 8, versions={"m": 1}))
     fast, slower = registry.of_service("svc")
     dispatcher = Dispatcher(registry, "z")
-    dispatcher.paces.seen(fast, 0.050)
-    dispatcher.paces.seen(slower, 0.066)
+    dispatcher.paces.record_interval(fast, 0.050)
+    dispatcher.paces.record_interval(slower, 0.066)
     long_need, short_need = run_need(True, 20), run_need(False, 20)
     request = dispatcher.request_migration(None, slower, long_need)
     assert request.granted is fast and fast.in_flight == 1
@@ -59,8 +59,8 @@
     fast, slow = registry.of_service("svc")
     fast.in_flight = 2
     dispatcher = Dispatcher(registry, "z")
-    dispatcher.paces.seen(fast, 0.050)
-    dispatcher.paces.seen(slow, 0.066)
+    dispatcher.paces.record_interval(fast, 0.050)
+    dispatcher.paces.record_interval(slow, 0.066)
     requests = [
         dispatcher.request_migration(None, slow, run_need(True, count)) for count in (20, 90, 50)
     ]
@@ -134,8 +134,8 @@
     slow, fast = registry.of_service("llm")
     paces = SamplerPaces()
     for _ in range(200):
-        paces.seen(slow, 0.2)
-        paces.seen(fast, 0.05)
+        paces.record_interval(slow, 0.2)
+        paces.record_interval(fast, 0.05)
     fast.runs, fast.in_flight = {"a": RunSize(250, 60)}, 1
     dispatcher = dispatcher_with_memory(registry, paces)
     need = PlaceNeed((0.0,), "m", 1, is_long=True, item="b", size=RunSize(250, 30))
--- a/tests/jobs/test_item_run.py
+++ b/tests/jobs/test_item_run.py
@@ -128,7 +128,7 @@
     dispatcher = Dispatcher(registry, "z")
     back_ends = registry.of_service("llm")
     for one, pace in zip(back_ends, [0.004, 0.00001, 0.00002], strict=True):
-        dispatcher.paces.seen(one, pace)
+        dispatcher.paces.record_interval(one, pace)
     assert not dispatcher.paces.slow_ids(back_ends)
     assert not granted(dispatcher, back_ends[0], is_long=True)
 
@@ -138,7 +138,7 @@
     dispatcher = Dispatcher(registry, "z")
     back_ends = registry.of_service("llm")
     for one, pace in zip(back_ends, [0.2, 0.04, 0.04, 0.05], strict=True):
-        dispatcher.paces.seen(one, pace)
+        dispatcher.paces.record_interval(one, pace)
     assert dispatcher.paces.slow_ids(back_ends) == {back_ends[0].record.id}
     assert granted(dispatcher, back_ends[0]) in back_ends[1:]
     assert not granted(dispatcher, back_ends[3])
@@ -175,7 +175,7 @@
     slow.in_flight, fast.in_flight = 3, 4
     dispatcher = Dispatcher(registry, "z")
     for one, pace in ((slow, 0.06), (fast, 0.04)):
-        dispatcher.paces.seen(one, pace)
+        dispatcher.paces.record_interval(one, pace)
     task = asyncio.create_task(dispatcher.run())
     long_one = [step for event in events(1, 40) for step in (event, 0.01)]
     samplers.scripts = [long_one, events(30, 31)]
--- a/tests/jobs/test_pace_sharing.py
+++ b/tests/jobs/test_pace_sharing.py
@@ -35,8 +35,10 @@
     store = MemoryStore()
     publisher, follower = Process(store, "a"), Process(store, "b")
     try:
-        publisher.paces.seen(SAMPLER, 0.05)
-        publisher.paces.seen(BackEnd(BackEndRecord("gone", "llm", "1.1.1.1:1", "z", 8)), 0.05)
+        publisher.paces.record_interval(SAMPLER, 0.05)
+        publisher.paces.record_interval(
+            BackEnd(BackEndRecord("gone", "llm", "1.1.1.1:1", "z", 8)), 0.05
+        )
         await eventually(lambda: follower.paces.steady_s(SAMPLER) == 0.05)
         assert b"gone" not in store.entries[PACE_PREFIX + "a"].value
         writes = store.entries[PACE_PREFIX + "a"].revision
@@ -54,6 +56,6 @@
     paces = SamplerPaces()
     store = MemoryStore()
     sharing = PaceSharing(store, ProcessLease(store), "a", paces, lambda key: True)
-    paces.told("b", {"s0": 0.05})
+    paces.update_from_process("b", {"s0": 0.05})
     sharing.state_changed(PACE_PREFIX + "b", Entry(PACE_PREFIX + "b", b"\xc1", 5))
     assert paces.steady_s(SAMPLER) is None
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -85,9 +85,9 @@
 async def test_a_model_that_is_named_later_keeps_its_share_of_the_fast_samplers():
     coordinator, control = make_coordinator(24, MODELS)
     fast = {f"i-{number:02d}" for number in range(16)}
-    coordinator._paces.told("runner", {key: 0.05 for key in fast})
+    coordinator._paces.update_from_process("runner", {key: 0.05 for key in fast})
     slow = {f"i-{number:02d}": 0.066 for number in range(16, 24)}
-    coordinator._paces.told("other", slow)
+    coordinator._paces.update_from_process("other", slow)
     coordinator.version_named("a", 2)
     running = asyncio.create_task(coordinator.run())
     try:
--- a/tests/serving/test_paces.py
+++ b/tests/serving/test_paces.py
@@ -24,7 +24,7 @@
     end = clock.now + for_s
     while clock.now < end:
         clock.now += interval_s
-        paces.seen(sampler, interval_s)
+        paces.record_interval(sampler, interval_s)
 
 
 def test_a_short_burst_of_slow_events_does_not_change_a_samplers_class(clock):
@@ -41,7 +41,7 @@
     (sampler,) = make_samplers(1)
     observe_stream(paces, clock, sampler, 0.05, 3.0)
     for _ in range(100):
-        paces.seen(sampler, 0.5)
+        paces.record_interval(sampler, 0.5)
     assert paces.steady_s(sampler) == pytest.approx(0.05)
 
 
@@ -57,9 +57,9 @@
 def test_unknown_samplers_stand_in_the_middle():
     paces = SamplerPaces()
     fast, slow, slower, unknown = make_samplers(4)
-    paces.seen(fast, 0.050)
-    paces.seen(slow, 0.066)
-    paces.seen(slower, 0.081)
+    paces.record_interval(fast, 0.050)
+    paces.record_interval(slow, 0.066)
+    paces.record_interval(slower, 0.081)
     assert paces.classes([fast, slow, slower, unknown]) == {"s0": 0, "s1": 2, "s2": 4, "s3": 2}
     assert SamplerPaces().classes([fast, slow]) == {"s0": 0, "s1": 0}
 
@@ -67,13 +67,13 @@
 def test_own_observations_go_before_what_others_told_and_are_forgotten(clock):
     paces = SamplerPaces()
     (sampler,) = make_samplers(1)
-    paces.told("p", {"s0": 0.07})
+    paces.update_from_process("p", {"s0": 0.07})
     assert paces.steady_s(sampler) == 0.07 and paces.recent_s(sampler) is None
-    paces.seen(sampler, 0.05)
+    paces.record_interval(sampler, 0.05)
     assert paces.steady_s(sampler) == 0.05
     assert paces.own_table() == {"s0": 0.05}
     clock.now += OBSERVATION_MAX_AGE_S + 1.0
     assert paces.steady_s(sampler) == 0.07
     assert paces.own_table() == {}
-    paces.told("p", {})
+    paces.update_from_process("p", {})
     assert paces.steady_s(sampler) is None
