--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -39,4 +39,4 @@
     def rejected(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
         """Handles a rejected request, which may show that another back end runs at the address."""
         if refusal.wrong_instance:
-            self._ended_back_ends.found_another(back_end)
+            self._ended_back_ends.record_replacement(back_end)
--- a/src/crankseam/serving/ended_back_ends.py
+++ b/src/crankseam/serving/ended_back_ends.py
@@ -74,7 +74,7 @@
             self._mark_ended(back_end, CONNECTION_REFUSED)
         return back_end.has_ended
 
-    def found_another(self, back_end: BackEnd) -> None:
+    def record_replacement(self, back_end: BackEnd) -> None:
         """Record that another back end answered at the address of this one."""
         if not back_end.has_ended and self._registry.is_staying(back_end):
             self._mark_ended(back_end, OTHER_BACK_END_ANSWERED)
--- a/tests/serving/test_ended_back_ends.py
+++ b/tests/serving/test_ended_back_ends.py
@@ -57,14 +57,14 @@
     else:
         registry.update(LEAVING)
     ended_back_ends = EndedBackEnds(registry, ScriptedProbe(refuses=True))
-    ended_back_ends.found_another(back_end)
+    ended_back_ends.record_replacement(back_end)
     assert not await ended_back_ends.has_ended(back_end) and not back_end.has_ended
 
 
 async def test_another_one_at_its_address_shows_that_it_ended(registry):
     ended_back_ends = EndedBackEnds(registry, ScriptedProbe(refuses=False))
     back_end = registry.by_id("b1")
-    ended_back_ends.found_another(back_end)
+    ended_back_ends.record_replacement(back_end)
     assert await ended_back_ends.has_ended(back_end)
 
 
