--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -165,7 +165,7 @@
                     call = self._client.score(back_end, self._request, deadline)
                     score = await record_send_outcome(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
-            back_end.was_full(SCORING_REJECTED_BACKOFF_S)
+            back_end.record_rejection(SCORING_REJECTED_BACKOFF_S)
             if refusal.wrong_instance:
                 back_end.failed()
             self._log("scoring_turned_away", back_end, refusal.reason)
--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -143,7 +143,7 @@
         self.has_ended = True
         self.avoid_until = max(self.avoid_until, time.monotonic() + ENDED_AVOID_S)
 
-    def was_full(self, pause_s: float = REJECTED_AVOID_S) -> None:
+    def record_rejection(self, pause_s: float = REJECTED_AVOID_S) -> None:
         """Record that the back end rejected a request without running it; avoid it briefly."""
         self.avoid_until = max(self.avoid_until, time.monotonic() + pause_s)
 
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -237,7 +237,7 @@
         return answer
 
     def _handle_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
-        back_end.was_full()
+        back_end.record_rejection()
         self._guard.rejected(back_end, rejection)
         if rejection.wrong_instance:
             back_end.failed()
