--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -242,7 +242,7 @@
             self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause_s} s")
             return None
         except AttemptBroken as failure:
-            back_end.failed()
+            back_end.record_failure()
             self._avoided = back_end.record.id
             self._log("item_broken", back_end, failure.reason)
             self._trial.report_if_held()
@@ -260,7 +260,7 @@
         except ItemImpossible:
             self._log("item_impossible", back_end, "never")
             return self._incomplete_result()
-        back_end.succeeded()
+        back_end.record_success()
         self._log("item_done", back_end, "whole")
         self.kept.whole = True
         return unscored_result(self.item, self.kept)
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -167,24 +167,24 @@
         except AttemptNotRun as refusal:
             back_end.record_rejection(SCORING_REJECTED_BACKOFF_S)
             if refusal.wrong_instance:
-                back_end.failed()
+                back_end.record_failure()
             self._log("scoring_turned_away", back_end, refusal.reason)
             return None
         except AttemptBroken as failure:
-            back_end.failed()
+            back_end.record_failure()
             self._log("scoring_broken", back_end, failure.reason)
             self.trial.report_if_held()
             return None
         except TimeoutError:
             self._timeouts += 1
-            back_end.failed()
+            back_end.record_failure()
             self._log("scoring_broken", back_end, "no answer in time")
             return None
         except ScoringFailed:
             self._failures += 1
             self._log("scoring_failed", back_end, f"failure {self._failures}")
             return None
-        back_end.succeeded()
+        back_end.record_success()
         self._log("scoring_done", back_end, score)
         return score
 
--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -120,13 +120,13 @@
         """
         return max(self.record.versions.get(model, 0), self.observed_versions.get(model, 0))
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a valid answer: the back end is no longer avoided."""
         self.has_ended = False
         self.failures = 0
         self.avoid_until = float("-inf")
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record a failed attempt, and avoid the back end for some time.
 
         Attempts that fail together, for example when the back end resets all its connections, count
@@ -138,7 +138,7 @@
         pause_s = min(AVOID_CAP_S, AVOID_BASE_S * 2.0 ** (self.failures - 1))
         self.avoid_until = max(self.avoid_until, time.monotonic() + pause_s)
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Record that the back end ended unannounced; discovery still lists it for some time."""
         self.has_ended = True
         self.avoid_until = max(self.avoid_until, time.monotonic() + ENDED_AVOID_S)
--- a/src/crankseam/serving/ended_back_ends.py
+++ b/src/crankseam/serving/ended_back_ends.py
@@ -80,7 +80,7 @@
             self._mark_ended(back_end, OTHER_BACK_END_ANSWERED)
 
     def _mark_ended(self, back_end: BackEnd, evidence: str) -> None:
-        back_end.ended()
+        back_end.record_end()
         log.warning(
             "back_end_ended",
             extra={
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -210,7 +210,7 @@
             return None
         except AttemptBroken as failure:
             history.record_broken(back_end.record.id, failure.reason)
-            back_end.failed()
+            back_end.record_failure()
             return None
         finally:
             back_end.release_slot()
@@ -240,20 +240,20 @@
         back_end.record_rejection()
         self._guard.rejected(back_end, rejection)
         if rejection.wrong_instance:
-            back_end.failed()
+            back_end.record_failure()
 
     def _handle_answer(
         self, forwarding: _Forwarding, back_end: BackEnd, answer: Answer | StreamingAnswer
     ) -> Answer | StreamingAnswer | None:
         """Return the answer for the caller; None if another attempt may follow."""
         if isinstance(answer, StreamingAnswer):
-            back_end.succeeded()
+            back_end.record_success()
             return replace(answer, chunks=self._monitored_body(answer, back_end, forwarding.trial))
         if retry.is_retryable(forwarding.route, answer):
             forwarding.history.record_server_error(back_end.record.id, answer)
-            back_end.failed()
+            back_end.record_failure()
             return None
-        back_end.succeeded()
+        back_end.record_success()
         return answer
 
     async def _monitored_body(
--- a/tests/serving/test_choice.py
+++ b/tests/serving/test_choice.py
@@ -50,7 +50,7 @@
 def test_the_least_loaded_is_chosen_and_avoided_ones_only_without_another():
     busy, idle = back_end("busy", in_flight=3), back_end("idle", in_flight=1)
     assert choose([busy, idle], "z") is idle
-    idle.failed()
+    idle.record_failure()
     assert choose([busy, idle], "z") is busy
     assert choose([idle], "z") is idle
     assert choose([idle], "z", {"idle"}) is None
