--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -227,7 +227,7 @@
             log.info("zone_evacuated", extra={"zone": zone})
             self._notify_change()
 
-    def take_back(self, zone: str) -> None:
+    def revoke_evacuation(self, zone: str) -> None:
         """Revoke the evacuation of a zone, as ordered by the operator."""
         if zone in self._evacuated_zones:
             self._evacuated_zones.remove(zone)
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -43,5 +43,5 @@
     assert [one.record.id for one in registry.of_service("s")] == ["b"]
     assert not registry.is_current(evacuated) and registry.is_staying(evacuated)
     assert len(registry.staying_of("s")) == 2, "it counts as supply and carries its models"
-    registry.take_back("z1")
+    registry.revoke_evacuation("z1")
     assert registry.is_current(evacuated)
