--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -179,7 +179,7 @@
         late_target = 0
         if back_ends and announced.is_late_in_step(now):
             service = back_ends[0].record.service
-            late_target = free_load_count(self._registry.staying_of(service))
+            late_target = free_load_count(self._registry.not_leaving(service))
         return due_samplers(
             back_ends,
             model,
@@ -194,7 +194,7 @@
         self, due_loads: list[Load], assigned: dict[str, list[BackEnd]]
     ) -> list[Load]:
         samplers = {
-            service: len(self._registry.staying_of(service))
+            service: len(self._registry.not_leaving(service))
             for service in {load.service for load in due_loads}
         }
         assigned_counts = {model: len(back_ends) for model, back_ends in assigned.items()}
--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -120,7 +120,7 @@
         }
 
     async def _scale_service(self, service: str, bounds: ScalingBounds, fence: int) -> None:
-        back_ends = self._registry.staying_of(service)
+        back_ends = self._registry.not_leaving(service)
         supply = self._supply_of(service, back_ends, bounds)
         now = time.monotonic()
         if not back_ends or not self._supply.is_settled(now):
--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -268,14 +268,14 @@
     def of_service(self, service: str) -> list[BackEnd]:
         """Return the back ends of a service that accept new work."""
         return [
-            back_end for back_end in self.staying_of(service) if self._accepts_new_work(back_end)
+            back_end for back_end in self.not_leaving(service) if self._accepts_new_work(back_end)
         ]
 
-    def staying_of(self, service: str) -> list[BackEnd]:
+    def not_leaving(self, service: str) -> list[BackEnd]:
         """Return the back ends of a service that are not leaving, including evacuated zones."""
         known = self._by_service.get(service, {}).values()
         return [back_end for back_end in known if not back_end.record.leaving]
 
-    def is_staying(self, back_end: BackEnd) -> bool:
+    def is_not_leaving(self, back_end: BackEnd) -> bool:
         """Whether a back end is known and not leaving; its zone may be evacuated."""
         return self.is_known(back_end) and not back_end.record.leaving
--- a/src/crankseam/serving/ended_back_ends.py
+++ b/src/crankseam/serving/ended_back_ends.py
@@ -58,7 +58,7 @@
         """Whether a back end has ended; called immediately after a request to it broke."""
         if back_end.has_ended:
             return True
-        if not self._registry.is_staying(back_end):
+        if not self._registry.is_not_leaving(back_end):
             return False
         key = back_end.record.id
         running_probe = self._running_probes.get(key)
@@ -76,7 +76,7 @@
 
     def record_replacement(self, back_end: BackEnd) -> None:
         """Record that another back end answered at the address of this one."""
-        if not back_end.has_ended and self._registry.is_staying(back_end):
+        if not back_end.has_ended and self._registry.is_not_leaving(back_end):
             self._mark_ended(back_end, OTHER_BACK_END_ANSWERED)
 
     def _mark_ended(self, back_end: BackEnd, evidence: str) -> None:
