--- a/src/crankseam/orders/assigner.py
+++ b/src/crankseam/orders/assigner.py
@@ -94,7 +94,7 @@
         by_id = {
             back_end.record.id: back_end
             for model in versions
-            for back_end in self._registry.carrying(model)
+            for back_end in self._registry.with_model(model)
         }
         by_service: dict[str, list[BackEnd]] = {}
         for back_end in by_id.values():
--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -257,7 +257,7 @@
         """Whether this incarnation is still in discovery, even if it is leaving."""
         return self._by_id.get(back_end.record.id) is back_end
 
-    def carrying(self, model: str) -> list[BackEnd]:
+    def with_model(self, model: str) -> list[BackEnd]:
         """Return all back ends that have loaded a model and are not leaving."""
         return [
             back_end
