--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -162,7 +162,7 @@
         self._by_service: dict[str, dict[str, BackEnd]] = {}
         self._evacuated_zones: set[str] = set()
         self.on_change: list[Callable[[], None]] = []
-        self.cold_share: Callable[[str, str], int | None] = lambda _id, _service: int(
+        self.cold_limit: Callable[[str, str], int | None] = lambda _id, _service: int(
             DEFAULT_COLD_PER_S
         )
         """Returns how many requests this process may send to a cold back end within any second, by
@@ -206,7 +206,7 @@
         """Whether this process may send a request now; the rate is limited for cold back ends."""
         if not back_end.cold.is_cold(now):
             return True
-        limit_per_s = self.cold_share(back_end.record.id, back_end.record.service)
+        limit_per_s = self.cold_limit(back_end.record.id, back_end.record.service)
         return back_end.cold.has_room(limit_per_s, now)
 
     def remove(self, back_end_id: str) -> None:
--- a/src/crankseam/serving/cold_starts.py
+++ b/src/crankseam/serving/cold_starts.py
@@ -76,7 +76,7 @@
     return xxhash.xxh64_intdigest(f"{back_end}/{process}".encode())
 
 
-class ColdShares:
+class ColdStartLimits:
     """Computes this process's part of the capacity of cold back ends.
 
     Parameters
@@ -98,7 +98,7 @@
         self._senders = senders
         self._capacity_of = capacity_of
 
-    def most_per_s(self, back_end: str, service: str) -> int | None:
+    def limit_per_s(self, back_end: str, service: str) -> int | None:
         """Return how many requests may be sent to a back end within any second while it is cold.
 
         None means that there is no limit.
--- a/tests/serving/test_cold_starts.py
+++ b/tests/serving/test_cold_starts.py
@@ -15,8 +15,8 @@
     DEFAULT_COLD_PER_S,
     MAX_SENDERS,
     WINDOW_S,
-    ColdShares,
     ColdStart,
+    ColdStartLimits,
     process_limit_per_s,
 )
 from crankseam.serving.paces import SamplerPaces
@@ -72,13 +72,13 @@
     "configured, limit", [(None, int(DEFAULT_COLD_PER_S)), (12.0, 12), (0.0, None), (0.5, 1)]
 )
 def test_the_operators_figure_counts_and_a_missing_one_is_assumed(configured, limit):
-    shares = ColdShares("only", lambda service: ["only"], lambda service: configured)
-    assert shares.most_per_s("b", "service") == limit
+    limits = ColdStartLimits("only", lambda service: ["only"], lambda service: configured)
+    assert limits.limit_per_s("b", "service") == limit
 
 
 async def test_items_and_moves_respect_the_limit_and_go_elsewhere():
     registry = BackEndRegistry()
-    registry.cold_share = lambda back_end, service: 2
+    registry.cold_limit = lambda back_end, service: 2
     registry.update(BackEndRecord("cold", "s", "a:1", "z", 40, cold_left_s=60.0))
     registry.update(BackEndRecord("warm", "s", "a:2", "z", 3))
     round_ = AssignmentRound(registry, SamplerPaces(), "z")
