--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -78,15 +78,15 @@
     return min(MAX_EVENT_TIMEOUT_S, NEXT_EVENT_TIMEOUT_S * 2.0**timeouts)
 
 
-def rejected_backoff_s(had_room: bool) -> float:
+def rejected_backoff_s(had_free_slots: bool) -> float:
     """Time for which a sampler is avoided after it rejected an item.
 
     Parameters
     ==========
 
-    had_room : whether the sampler reported that it had room for the item.
+    had_free_slots : whether the sampler reported that it had room for the item.
     """
-    return LOADING_BACKOFF_S if had_room else FULL_BACKOFF_S
+    return LOADING_BACKOFF_S if had_free_slots else FULL_BACKOFF_S
 
 
 def give_up_at(started_at: float, longest_queue_s: float) -> float:
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -236,7 +236,7 @@
             with self._trial.sending() as send:
                 await record_send_outcome(self._guard, send, back_end, self._generate(back_end))
         except AttemptNotRun as refusal:
-            pause_s = rejected_backoff_s(refusal.had_room)
+            pause_s = rejected_backoff_s(refusal.had_free_slots)
             back_end.record_rejection(pause_s)
             self._migration_timer.rejected(time.monotonic())
             self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause_s} s")
--- a/src/crankseam/serving/messages.py
+++ b/src/crankseam/serving/messages.py
@@ -74,7 +74,7 @@
 
     reason: str
     wrong_instance: bool = False
-    had_room: bool = False
+    had_free_slots: bool = False
     """Whether the back end reported free slots: the reason for the rejection was then not its load
     but, for instance, a weight version that it is loading."""
 
--- a/tests/jobs/test_item_retry.py
+++ b/tests/jobs/test_item_retry.py
@@ -27,8 +27,8 @@
 
 
 def test_a_sampler_that_rejects_with_room_is_avoided_for_longer():
-    assert rejected_backoff_s(had_room=True) == LOADING_BACKOFF_S > FULL_BACKOFF_S
-    assert rejected_backoff_s(had_room=False) == FULL_BACKOFF_S
+    assert rejected_backoff_s(had_free_slots=True) == LOADING_BACKOFF_S > FULL_BACKOFF_S
+    assert rejected_backoff_s(had_free_slots=False) == FULL_BACKOFF_S
 
 
 def test_an_item_is_given_up_a_margin_after_its_queue_time():
