--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -67,7 +67,7 @@
     Attributes
     ==========
 
-    on_begun : callbacks invoked once for each request that may have started to run, with its tenant
+    on_started : callbacks invoked once for each request that may have started to run, with its tenant
         and the time, in seconds of `clocks.promised_s`, at which it was first sent.
     """
 
@@ -78,7 +78,7 @@
         guard: CrashGuard,
         zone: str,
     ) -> None:
-        self.on_begun: list[Callable[[str, float], None]] = []
+        self.on_started: list[Callable[[str, float], None]] = []
         self._registry = registry
         self._client = client
         self._guard = guard
@@ -111,7 +111,7 @@
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
             if history.began_at is not None:
-                for notify in self.on_begun:
+                for notify in self.on_started:
                     notify(request.tenant, history.began_at)
         if answer is None:
             answer = history.last_failure
