--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -44,7 +44,7 @@
 RETRY_AFTER_NO_CONFIGURATION_S = 0.3
 """`Retry-After`, in seconds, of a process that has not read a configuration yet: it is starting,
 and the load balancer in front offers other processes."""
-RETRY_AFTER_STORE_AWAY_S = 0.3
+RETRY_AFTER_STORE_UNAVAILABLE_S = 0.3
 """`Retry-After`, in seconds, of a job call that failed because the store did not respond: the next
 call may reach a process that the store does respond to."""
 RETRY_AFTER_UNCONFIRMED_KEY_S = 0.5
