--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -117,7 +117,7 @@
             answer = history.last_failure
         _log_outcome(forwarding, answer)
         if answer is None:
-            raise retry.problem_when_given_up(history)
+            raise retry.give_up_problem(history)
         return answer
 
     async def _attempt_until_answered(
--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -146,7 +146,7 @@
     return is_server_error(answer) and route.kind is RequestKind.REPEATABLE
 
 
-def problem_when_given_up(history: AttemptHistory) -> Problem:
+def give_up_problem(history: AttemptHistory) -> Problem:
     """Return the error reported to the caller of a request that was given up."""
     reason = history.reasons[-1] if history.reasons else "no back end took it"
     if history.may_have_run:
--- a/tests/serving/test_retry.py
+++ b/tests/serving/test_retry.py
@@ -64,15 +64,15 @@
 
 def test_not_run_is_said_only_where_no_attempt_may_have_run():
     history = AttemptHistory()
-    problem = retry.problem_when_given_up(history)
+    problem = retry.give_up_problem(history)
     assert isinstance(problem, Unavailable) and problem.outcome == OUTCOME_NOT_RUN
     assert problem.retry_after and problem.detail == "no back end took it"
     history.record_sent("a")
     history.record_rejected("a", "status 503")
-    assert isinstance(retry.problem_when_given_up(history), Unavailable)
+    assert isinstance(retry.give_up_problem(history), Unavailable)
     history.record_sent("b")
     history.record_broken("b", "ServerDisconnectedError")
-    problem = retry.problem_when_given_up(history)
+    problem = retry.give_up_problem(history)
     assert isinstance(problem, OutcomeUnknown) and problem.outcome == OUTCOME_UNKNOWN
     assert problem.retry_after is None and problem.detail == "b: ServerDisconnectedError"
 
