--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -26,7 +26,7 @@
 from typing import NamedTuple
 
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
-from crankseam.serving.engine_memory import NOTHING, EngineMemory, RunSize
+from crankseam.serving.engine_memory import EMPTY_RUN, EngineMemory, RunSize
 from crankseam.serving.paces import SamplerPaces
 
 DEFAULT_SLOTS = 8
@@ -79,7 +79,7 @@
     is_long: bool = False
     slots_share: float = 1.0
     item: str = ""
-    size: RunSize = NOTHING
+    size: RunSize = EMPTY_RUN
 
 
 @dataclass(order=True, slots=True)
--- a/src/crankseam/serving/engine_memory.py
+++ b/src/crankseam/serving/engine_memory.py
@@ -67,5 +67,5 @@
         return min(expected, self.max_tokens) if self.max_tokens else expected
 
 
-NOTHING = RunSize(0, 0)
+EMPTY_RUN = RunSize(0, 0)
 """Size of a run that needs no memory."""
