--- a/src/crankseam/jobs/routed_places.py
+++ b/src/crankseam/jobs/routed_places.py
@@ -72,7 +72,7 @@
     ) -> RoutedPlace | None:
         if (
             route is not None
-            and route.leads_to(reserved.record.service)
+            and route.sends_to(reserved.record.service)
             and self._dispatcher.is_current(reserved)
         ):
             return RoutedPlace(route, reserved)
@@ -100,6 +100,6 @@
                 continue
             # The route may have changed during the wait.
             route = find_route()
-            if route is not None and route.leads_to(service):
+            if route is not None and route.sends_to(service):
                 return RoutedPlace(route, back_end)
             self._dispatcher.release(back_end, need.item)
--- a/src/crankseam/serving/routes.py
+++ b/src/crankseam/serving/routes.py
@@ -61,7 +61,7 @@
     is_public: bool = False
     """Whether callers need no API key although the configuration has tenants."""
 
-    def leads_to(self, service: str) -> bool:
+    def sends_to(self, service: str) -> bool:
         """Whether a share of the route's requests is sent to a service."""
         return any(share.service == service for share in self.shares)
 
