--- a/src/crankseam/serving/settings.py
+++ b/src/crankseam/serving/settings.py
@@ -157,7 +157,7 @@
     return InvalidConfiguration("the settings are not valid", [error])
 
 
-def as_plain(settings: ProcessSettings) -> dict[str, Any]:
+def to_builtins(settings: ProcessSettings) -> dict[str, Any]:
     """Return the settings as built-in types, for the log line at start-up."""
     plain: dict[str, Any] = msgspec.to_builtins(settings)
     return plain
