--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -34,10 +34,10 @@
         self._scorer = scorer
         self.item_seconds = ItemSeconds()
 
-    def longest_queue_s(self, job: JobDefinition) -> float:
+    def max_queue_s(self, job: JobDefinition) -> float:
         """The `max_queue` of the job's route: seconds after which an item may be given up."""
         route = self._find_route(job)
-        return route.longest_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
+        return route.max_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
 
     def due_s(self, job: JobDefinition) -> float:
         """Seconds after its submission at which a job's results are due; infinite if never."""
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -114,7 +114,7 @@
     async def _make_result(self, index: int, item: ItemDefinition) -> ItemResult:
         rank = rank_of(self.job, self._started_at, item, index)
         is_long = item.length_hint > self._long_hint
-        end_at = give_up_at(self._started_at, self._maker.longest_queue_s(self.job))
+        end_at = give_up_at(self._started_at, self._maker.max_queue_s(self.job))
         try:
             async with asyncio.timeout(end_at - time.monotonic()):
                 return await self._maker.make(self.job, item, rank, self._texts[item.id], is_long)
