--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -203,7 +203,7 @@
         Reads the results that other processes may have listed in the meantime. Returns True, as
         _claim does once nothing is left to try.
         """
-        await self.take_listed(job_id)
+        await self.read_new_chunks(job_id)
         if job_id not in self._running.runners:
             return True
         self._running.record_ownership(job_id, lease)
@@ -212,7 +212,7 @@
 
     # --- results listed by other processes
 
-    async def take_listed(self, job_id: str) -> None:
+    async def read_new_chunks(self, job_id: str) -> None:
         """Read the results that other processes have listed of a job that runs here."""
         runner = self._running.runners.get(job_id)
         if runner is None:
@@ -244,7 +244,7 @@
             await asyncio.sleep(FORMER_OWNER_POLL_INTERVAL_S)
             asked_at = clocks.promised_s()
             try:
-                await self.take_listed(job_id)
+                await self.read_new_chunks(job_id)
                 listing.checked_at = asked_at
             except KeyValueError as error:
                 log.warning(
