--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -305,12 +305,12 @@
                 elif now >= warm_at:
                     self._dispatcher.paces.record_interval(back_end, now - last_event_at)
                 last_event_at = now
-                self._take(event)
+                self._append_event(event)
                 back_end.runs[self.item.id] = self._run_size()
                 if now >= warm_at:
                     self._migrate_if_slow(back_end)
 
-    def _take(self, event: GeneratedEvent) -> None:
+    def _append_event(self, event: GeneratedEvent) -> None:
         if event.number != len(self.kept.events) + 1:
             raise AttemptBroken(f"event {event.number} after {len(self.kept.events)}")
         if event.version and event.version < self.job.min_version:
