--- a/src/crankseam/jobs/retention.py
+++ b/src/crankseam/jobs/retention.py
@@ -3,7 +3,7 @@
 Inputs: the keys of ended jobs in this process's copy of the store; the time on its own monotonic
 clock at which it first saw each of them; the time for which the deployment lets callers query an
 ended job (`job_status_seconds`).
-Rule: a job is removed KEPT_FACTOR times that long after this process first saw its end, plus a
+Rule: a job is removed RETENTION_FACTOR times that long after this process first saw its end, plus a
 random delay of up to REMOVAL_JITTER_S. Only the processes that watch the store for other processes
 remove jobs.
 Purpose: to let callers query ended jobs for the promised time, and to bound the size of the store.
@@ -30,7 +30,7 @@
 REMOVAL_JITTER_S = 30.0
 """Upper bound of the random delay before a removal. It spreads the processes that may remove a job:
 the first one removes it, and the others see that it is gone."""
-KEPT_FACTOR = 2.0
+RETENTION_FACTOR = 2.0
 """Ratio of an ended job's retention time to the time for which callers may query it."""
 
 
