--- a/src/crankseam/jobs/peer_reads.py
+++ b/src/crankseam/jobs/peer_reads.py
@@ -90,7 +90,7 @@
         self._ask_owner = ask
         self._jobs: OwnedJobs | None = None
 
-    def answer_for(self, jobs: OwnedJobs) -> None:
+    def serve_jobs(self, jobs: OwnedJobs) -> None:
         """Set the jobs from which queries of other processes are answered."""
         self._jobs = jobs
 
--- a/tests/jobs/test_peer_reads.py
+++ b/tests/jobs/test_peer_reads.py
@@ -41,7 +41,7 @@
             self.supervisor,
             owner_client=self.peer_reads,
         )
-        self.peer_reads.answer_for(self.jobs)
+        self.peer_reads.serve_jobs(self.jobs)
         processes[name] = self
         self.jobs.start()
 
