--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -319,7 +319,7 @@
         if self._single_version and self.kept.versions and event.version not in self.kept.versions:
             self.kept.clear()
             raise AttemptBroken("made by two versions")
-        self.kept.take(event)
+        self.kept.append(event)
         self._trial.progressed()
 
     def _migrate_if_slow(self, back_end: BackEnd) -> None:
--- a/src/crankseam/jobs/model.py
+++ b/src/crankseam/jobs/model.py
@@ -111,7 +111,7 @@
     versions: list[int] = []
     whole: bool = False
 
-    def take(self, event: GeneratedEvent) -> None:
+    def append(self, event: GeneratedEvent) -> None:
         """Append the next event and record its version."""
         self.events.append(event.data)
         if event.version and event.version not in self.versions:
