--- a/src/crankseam/jobs/demand.py
+++ b/src/crankseam/jobs/demand.py
@@ -49,15 +49,15 @@
         self._open_jobs: dict[str, OpenJob] = {}
         self._peaks: dict[str, tuple[int, float]] = {}
         """Peak number of open items, and the monotonic time at which it was last reached."""
-        self._needed_versions: dict[str, int] = {}
+        self._min_usable_versions: dict[str, int] = {}
         self._item_s: dict[str, float] = {}
         """Expected seconds per item from the newest job that states them, by model."""
 
     def opened(self, job_id: str, job: OpenJob) -> None:
         """Add an open job."""
         self._open_jobs[job_id] = job
-        self._needed_versions[job.model] = max(
-            self._needed_versions.get(job.model, 0), job.min_version
+        self._min_usable_versions[job.model] = max(
+            self._min_usable_versions.get(job.model, 0), job.min_version
         )
         if job.item_s > 0.0:
             self._item_s[job.model] = job.item_s
@@ -83,16 +83,16 @@
             items[job.model] += job.items
         return items
 
-    def items_of(self, model: str) -> int | None:
+    def peak_open_items(self, model: str) -> int | None:
         """Recent peak of concurrently open items; None if the model had no open item."""
         peak, _ = self._peaks.get(model, (0, 0.0))
         return peak or None
 
-    def work_s_of(self, model: str) -> float | None:
+    def required_slot_seconds(self, model: str) -> float | None:
         """Slot-seconds that the recent peak of open items needs; None if unknown."""
-        items, item_s = self.items_of(model), self._item_s.get(model)
+        items, item_s = self.peak_open_items(model), self._item_s.get(model)
         return items * item_s if items is not None and item_s is not None else None
 
-    def needed_version(self, model: str) -> int | None:
+    def min_usable_version(self, model: str) -> int | None:
         """Highest `min_version` among the jobs seen of a model; None if no job was seen."""
-        return self._needed_versions.get(model)
+        return self._min_usable_versions.get(model)
--- a/src/crankseam/orders/assigner.py
+++ b/src/crankseam/orders/assigner.py
@@ -107,12 +107,14 @@
         hosted = {model for back_end in back_ends for model in back_end.record.versions}
         models = {model: versions.get(model, 0) for model in hosted}
         classes = self._paces.classes(back_ends)
-        items = {model: count for model in models if (count := self._demand.items_of(model))}
+        items = {model: count for model in models if (count := self._demand.peak_open_items(model))}
         return assign(back_ends, models, classes, items, self._shares_of(service, hosted))
 
     def _shares_of(self, service: str, models: set[str]) -> dict[str, float]:
         model_shares = self._shares.setdefault(service, ModelShares())
-        work_s = {model: work for model in models if (work := self._demand.work_s_of(model))}
+        work_s = {
+            model: work for model in models if (work := self._demand.required_slot_seconds(model))
+        }
         previous = model_shares.shares
         shares = model_shares.update(models, work_s)
         if shares != previous:
--- a/src/crankseam/orders/demand.py
+++ b/src/crankseam/orders/demand.py
@@ -12,27 +12,27 @@
 class Demand(Protocol):
     """Demand of the open jobs of each model."""
 
-    def items_of(self, model: str) -> int | None:
+    def peak_open_items(self, model: str) -> int | None:
         """Return how many items need to run at the same time; None if unknown."""
 
-    def work_s_of(self, model: str) -> float | None:
+    def required_slot_seconds(self, model: str) -> float | None:
         """Return the total seconds for which these items occupy sampler slots; None if unknown."""
 
-    def needed_version(self, model: str) -> int | None:
+    def min_usable_version(self, model: str) -> int | None:
         """Return the oldest version that may serve the newest job; None if unknown."""
 
 
 class UnknownDemand:
     """Implementation of Demand for processes that do not know the open jobs."""
 
-    def items_of(self, model: str) -> int | None:
+    def peak_open_items(self, model: str) -> int | None:
         """See Demand."""
         return None
 
-    def work_s_of(self, model: str) -> float | None:
+    def required_slot_seconds(self, model: str) -> float | None:
         """See Demand."""
         return None
 
-    def needed_version(self, model: str) -> int | None:
+    def min_usable_version(self, model: str) -> int | None:
         """See Demand."""
         return None
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -159,7 +159,7 @@
     assigned: list[BackEnd],
     model: str,
     announced: AnnouncedVersion,
-    needed_version: int | None,
+    min_usable_version: int | None,
     late_target: int,
     priority: Callable[[BackEnd], LoadPriority],
     now: float,
@@ -173,13 +173,13 @@
     ==========
 
     assigned : samplers assigned to the model.
-    needed_version : oldest version that may serve the newest job; if None, only the newest version
+    min_usable_version : oldest version that may serve the newest job; if None, only the newest version
         may serve it.
     late_target : number of assigned samplers that should have the newest version late in a step.
     now : monotonic seconds.
     """
     newest = announced.version
-    oldest_usable = min(newest, needed_version) if needed_version is not None else newest
+    oldest_usable = min(newest, min_usable_version) if min_usable_version is not None else newest
     outdated = [back_end for back_end in assigned if back_end.version_of(model) < newest]
     unusable = [back_end for back_end in outdated if back_end.version_of(model) < oldest_usable]
     if now < announced.load_after:
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -175,7 +175,7 @@
     def _find_due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
         now = time.monotonic()
         announced = self._newest[model]
-        needed = self._demand.needed_version(model)
+        needed = self._demand.min_usable_version(model)
         late_target = 0
         if back_ends and announced.is_late_in_step(now):
             service = back_ends[0].record.service
--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -61,7 +61,7 @@
 
     process : name of this process.
     configuration : returns the newest configuration; None while none is known.
-    items_of : returns the highest number of items of a model that were recently open at the same
+    peak_open_items : returns the highest number of items of a model that were recently open at the same
         time; None if unknown.
     """
 
@@ -73,7 +73,7 @@
         market: SamplerMarket,
         process: str,
         configuration: Callable[[], Configuration | None],
-        items_of: Callable[[str], int | None],
+        peak_open_items: Callable[[str], int | None],
     ) -> None:
         self._store = store
         self._duty = duty
@@ -81,7 +81,7 @@
         self._market = market
         self._process = process
         self._configuration = configuration
-        self._items_of = items_of
+        self._peak_open_items = peak_open_items
         self._fence: int | None = None
         """Fencing token under which `_ordered_counts` were ordered."""
         self._ordered_counts: dict[_OrderTarget, OrderedCount] = defaultdict(OrderedCount)
@@ -155,7 +155,7 @@
     def _current_need(self, back_ends: Iterable[BackEnd]) -> int | None:
         models = {model for back_end in back_ends for model in back_end.record.versions}
         slots = max((back_end.record.slots for back_end in back_ends), default=1)
-        return required_samplers([self._items_of(model) for model in models], slots)
+        return required_samplers([self._peak_open_items(model) for model in models], slots)
 
     def _is_due(self, order: Order, supply: ZoneSupply, bounds: ScalingBounds, now: float) -> bool:
         present = supply.spot if order.kind is Kind.SPOT else supply.standing
--- a/tests/orders/test_assigner.py
+++ b/tests/orders/test_assigner.py
@@ -10,7 +10,7 @@
     def __init__(self, work_s):
         self.work_s = work_s
 
-    def work_s_of(self, model):
+    def required_slot_seconds(self, model):
         return self.work_s.get(model)
 
 
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -49,7 +49,7 @@
     def __init__(self, needed):
         self.needed = needed
 
-    def needed_version(self, model):
+    def min_usable_version(self, model):
         return self.needed
 
 
