--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -234,8 +234,8 @@
         if runner is None:
             return
         listing = runner.listing
-        listing.checked_at = clocks.promised_s()
-        end = listing.checked_at + FORMER_OWNER_POLL_DURATION_S
+        listing.former_owner_polled_at = clocks.promised_s()
+        end = listing.former_owner_polled_at + FORMER_OWNER_POLL_DURATION_S
         while (
             clocks.promised_s() < end
             and self._running.runners.get(job_id) is runner
@@ -245,9 +245,9 @@
             asked_at = clocks.promised_s()
             try:
                 await self.read_new_chunks(job_id)
-                listing.checked_at = asked_at
+                listing.former_owner_polled_at = asked_at
             except KeyValueError as error:
                 log.warning(
                     "results_not_read", extra={"job": job_id, "error": type(error).__name__}
                 )
-        listing.checked_at = None
+        listing.former_owner_polled_at = None
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -53,7 +53,7 @@
 
     chunks : number of listed chunks.
     results : the listed results, by position.
-    checked_at : time (`clocks.promised_s`) of the last poll for results that a former owner
+    former_owner_polled_at : time (`clocks.promised_s`) of the last poll for results that a former owner
         listed; None if no listing of a former owner can take effect any more.
     """
 
@@ -79,7 +79,7 @@
         self._results_added = asyncio.Event()
         self._unconfirmed_since: float | None = None
         """Time (`clocks.promised_s`) of the first write that may have taken effect unnoticed."""
-        self.checked_at: float | None = None
+        self.former_owner_polled_at: float | None = None
 
     # --- state
 
@@ -111,7 +111,10 @@
             and now - self._unconfirmed_since > UNCERTAIN_AFTER_S
         ):
             return False
-        return self.checked_at is None or now - self.checked_at <= MAX_CHECK_AGE_S
+        return (
+            self.former_owner_polled_at is None
+            or now - self.former_owner_polled_at <= MAX_CHECK_AGE_S
+        )
 
     async def wait_for(self, position: int, wait_s: float) -> None:
         """Return when a result is listed at `position`, or after `wait_s` seconds."""
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -66,7 +66,7 @@
 async def test_an_owner_that_looked_before_is_certain_no_more(suspend):
     maker = make_maker(Dispatcher(make_registry(), "z"), ScriptedSamplers())
     runner = JobRunner(make_job(), [], {}, [], JobRepository(MemoryStore(), "a"), maker)
-    runner.listing.checked_at = clocks.promised_s()
+    runner.listing.former_owner_polled_at = clocks.promised_s()
     assert runner.listing.is_certain()
     suspend()
     assert not runner.listing.is_certain()
