--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -103,7 +103,7 @@
             request.place.set_result(back_end)
         self._waiting = unplaced
 
-    def knows(self, back_end_id: str) -> bool:
+    def is_registered(self, back_end_id: str) -> bool:
         """Whether discovery lists a back end with this id."""
         return self._registry.by_id(back_end_id) is not None
 
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -70,7 +70,7 @@
             self._make_runner, self.lease, self._reader, self._earlier_outputs, supervisor
         )
         self.pace_sharing = PaceSharing(
-            store, self.lease, process, dispatcher.paces, dispatcher.knows
+            store, self.lease, process, dispatcher.paces, dispatcher.is_registered
         )
         self.state = PrefixFollower(
             watched_store or store, STATE_PREFIX, self._state_changed, watch_wait_s
