--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -18,7 +18,7 @@
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.repository import JobRepository
 from crankseam.jobs.result_listing import ResultListing
-from crankseam.jobs.urgency import long_hint, rank_of
+from crankseam.jobs.urgency import long_hint_threshold, rank_of
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
         self.accepted = asyncio.Event()
         """Set once the job is accepted; nothing is listed or saved before."""
         self._texts = {item.id: kept.get(item.id) or PartialText() for item in job.items}
-        self._long_hint = long_hint(job)
+        self._long_hint_threshold = long_hint_threshold(job)
         self._saved_event_count = 0
         due_at = self._started_at + maker.due_s(job)
         self.listing = ResultListing(job, listed, due_at, repository, self._cancel_item)
@@ -113,7 +113,7 @@
 
     async def _make_result(self, index: int, item: ItemDefinition) -> ItemResult:
         rank = rank_of(self.job, self._started_at, item, index)
-        is_long = item.length_hint > self._long_hint
+        is_long = item.length_hint > self._long_hint_threshold
         end_at = give_up_at(self._started_at, self._maker.max_queue_s(self.job))
         try:
             async with asyncio.timeout(end_at - time.monotonic()):
--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -56,7 +56,7 @@
     return (float(job.priority), start_span, -float(item.length_hint), float(index))
 
 
-def long_hint(job: JobDefinition) -> float:
+def long_hint_threshold(job: JobDefinition) -> float:
     """Length hint, in tokens, above which an item of a job is expected to be long.
 
     Infinite if no item of the job has a hint.
--- a/tests/jobs/test_urgency.py
+++ b/tests/jobs/test_urgency.py
@@ -11,7 +11,7 @@
     NEW_ITEM_SLOTS_SHARE,
     START_SPAN_S,
     is_long_run,
-    long_hint,
+    long_hint_threshold,
     rank_of,
     slots_share,
 )
@@ -49,8 +49,8 @@
 
 
 def test_an_item_is_expected_long_by_the_median_of_the_hints_that_were_told():
-    assert long_hint(job_with([0, 10, 20, 30])) == LONG_HINT_FACTOR * 20
-    assert long_hint(job_with([0, 0])) == math.inf
+    assert long_hint_threshold(job_with([0, 10, 20, 30])) == LONG_HINT_FACTOR * 20
+    assert long_hint_threshold(job_with([0, 0])) == math.inf
 
 
 def test_a_run_turns_out_long_by_its_events():
