--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -18,7 +18,7 @@
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.repository import JobRepository
 from crankseam.jobs.result_listing import ResultListing
-from crankseam.jobs.urgency import long_hint_threshold, rank_of
+from crankseam.jobs.urgency import item_rank, long_hint_threshold
 
 log = logging.getLogger(__name__)
 
@@ -112,7 +112,7 @@
         self.listing.finish(result)
 
     async def _make_result(self, index: int, item: ItemDefinition) -> ItemResult:
-        rank = rank_of(self.job, self._started_at, item, index)
+        rank = item_rank(self.job, self._started_at, item, index)
         is_long = item.length_hint > self._long_hint_threshold
         end_at = give_up_at(self._started_at, self._maker.max_queue_s(self.job))
         try:
--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -41,7 +41,7 @@
 ends, and find the other half free even if many items finish at the same time."""
 
 
-def rank_of(
+def item_rank(
     job: JobDefinition, started_at: float, item: ItemDefinition, index: int
 ) -> tuple[float, ...]:
     """Sort key of an item among all waiting items of this process; the smallest is served first.
--- a/tests/jobs/test_urgency.py
+++ b/tests/jobs/test_urgency.py
@@ -11,8 +11,8 @@
     NEW_ITEM_SLOTS_SHARE,
     START_SPAN_S,
     is_long_run,
+    item_rank,
     long_hint_threshold,
-    rank_of,
     slots_share,
 )
 from tests.jobs.factories import make_job
@@ -28,7 +28,7 @@
 
 
 def ranks(job, started_at):
-    return [rank_of(job, started_at, item, index) for index, item in enumerate(job.items)]
+    return [item_rank(job, started_at, item, index) for index, item in enumerate(job.items)]
 
 
 def test_the_longer_hint_goes_first_and_equal_ones_in_order():
