--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -93,7 +93,7 @@
             request = heapq.heappop(self._waiting)
             if request.place.done():
                 continue
-            back_end = round_.take(request)
+            back_end = round_.assign(request)
             if back_end is None:
                 unplaced.append(request)
                 continue
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -272,7 +272,7 @@
         self._queues: dict[_ItemKind, _Queue] = {}
         self._slow_ids: dict[str, set[str]] = {}
 
-    def take(self, request: PlaceRequest) -> BackEnd | None:
+    def assign(self, request: PlaceRequest) -> BackEnd | None:
         """The sampler for a request; None if no suitable one has room."""
         need = request.need
         kind = _ItemKind(
--- a/tests/serving/test_cold_starts.py
+++ b/tests/serving/test_cold_starts.py
@@ -84,7 +84,7 @@
     round_ = AssignmentRound(registry, SamplerPaces(), "z")
     taken = []
     for number in range(8):
-        back_end = round_.take(PlaceRequest((0.0,), number, PlaceNeed((0.0,)), "s", 0, None))
+        back_end = round_.assign(PlaceRequest((0.0,), number, PlaceNeed((0.0,)), "s", 0, None))
         if back_end is not None:
             back_end.occupy_slot()
             taken.append(back_end.record.id)
