--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -15,7 +15,7 @@
 
 from crankseam.jobs.migration import max_pace_s
 from crankseam.jobs.migration_requests import MigrationRequest, MigrationRequests
-from crankseam.jobs.places import AssignmentRound, MemoryFinder, PlaceNeed, PlaceRequest
+from crankseam.jobs.places import AssignmentRound, MemoryLookup, PlaceNeed, PlaceRequest
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.paces import SamplerPaces
 
@@ -38,7 +38,7 @@
         registry: BackEndRegistry,
         zone: str,
         paces: SamplerPaces | None = None,
-        memory_of: MemoryFinder = lambda service: None,
+        memory_of: MemoryLookup = lambda service: None,
     ) -> None:
         self._memory_of = memory_of
         self._registry = registry
--- a/src/crankseam/jobs/migration_requests.py
+++ b/src/crankseam/jobs/migration_requests.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from crankseam.jobs.migration import PACE_ORDER_MAX_AGE_S
-from crankseam.jobs.places import MemoryFinder, PlaceNeed, may_serve, slots_of
+from crankseam.jobs.places import MemoryLookup, PlaceNeed, may_serve, slots_of
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.paces import SamplerPaces
 
@@ -44,7 +44,7 @@
         self,
         registry: BackEndRegistry,
         paces: SamplerPaces,
-        memory_of: MemoryFinder = lambda service: None,
+        memory_of: MemoryLookup = lambda service: None,
     ) -> None:
         self._memory_of = memory_of
         self._registry = registry
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -144,7 +144,7 @@
     size_bucket: int
 
 
-MemoryFinder = Callable[[str], EngineMemory | None]
+MemoryLookup = Callable[[str], EngineMemory | None]
 """Returns the memory of each sampler of a service; None if unknown."""
 SIZE_BUCKET_EVENTS = 16
 """Runs are grouped by their number of events into buckets of this width, and those of one bucket
@@ -262,7 +262,7 @@
         registry: BackEndRegistry,
         paces: SamplerPaces,
         zone: str,
-        memory_of: MemoryFinder = lambda service: None,
+        memory_of: MemoryLookup = lambda service: None,
     ) -> None:
         self._memory_of = memory_of
         self._registry = registry
