--- a/src/crankseam/jobs/placement.py
+++ b/src/crankseam/jobs/placement.py
@@ -104,7 +104,7 @@
     outcome: Outcome
 
 
-class SubmissionTaker(Protocol):
+class JobAcceptor(Protocol):
     """Accepts jobs on behalf of this process."""
 
     async def submit(self, job: JobDefinition, deadline: float) -> None:
@@ -131,7 +131,7 @@
 
     def __init__(
         self,
-        jobs: SubmissionTaker,
+        jobs: JobAcceptor,
         process: str,
         processes: Callable[[], dict[str, float]],
         ask: ProcessAsker,
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -132,7 +132,7 @@
         return len(self.running.runners)
 
     def has_room(self, items: int) -> bool:
-        """See SubmissionTaker."""
+        """See JobAcceptor."""
         unlisted = sum(runner.unlisted_count() for runner in self.running.runners.values())
         return self.claims.active and has_room(unlisted, items)
 
