--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -107,7 +107,7 @@
         """Loads in progress by sampler id."""
         self.active = True
 
-    def version_named(self, model: str, version: int) -> None:
+    def version_announced(self, model: str, version: int) -> None:
         """Take note of a version that a trainer has announced; an older one is ignored."""
         previous = self._newest.get(model)
         if version <= (previous.version if previous is not None else 0):
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -71,7 +71,7 @@
 async def test_loads_at_a_time_grow_with_the_service(samplers, models, max_loads):
     coordinator, control = make_coordinator(samplers, MODELS[:models])
     for model in MODELS[:models]:
-        coordinator.version_named(model, 2)
+        coordinator.version_announced(model, 2)
     running = asyncio.create_task(coordinator.run())
     try:
         await eventually(lambda: len(control.loading) >= max_loads)
@@ -88,7 +88,7 @@
     coordinator._paces.update_from_process("runner", {key: 0.05 for key in fast})
     slow = {f"i-{number:02d}": 0.066 for number in range(16, 24)}
     coordinator._paces.update_from_process("other", slow)
-    coordinator.version_named("a", 2)
+    coordinator.version_announced("a", 2)
     running = asyncio.create_task(coordinator.run())
     try:
         await eventually(lambda: coordinator._assignment().get("a"))
@@ -110,14 +110,14 @@
     """If a load serves two jobs, half as many loads are needed and half as many runs broken off."""
     demand = FixedDemand(needed=1)
     coordinator, _ = make_coordinator(6, MODELS[:1], demand)
-    coordinator.version_named("a", 2)
+    coordinator.version_announced("a", 2)
     first = due_ids(coordinator)
     assert len(first) == 3, "half of them, so that not all samplers are due at the same time"
     for key in first:
         coordinator._registry.by_id(key).observed_versions["a"] = 2
     assert due_ids(coordinator) == []
     demand.needed = 2
-    coordinator.version_named("a", 3)
+    coordinator.version_announced("a", 3)
     second = due_ids(coordinator)
     assert set(second) == {f"i-{number:02d}" for number in range(6)} - set(first)
 
@@ -131,9 +131,9 @@
     clock = FakeClock()
     monkeypatch.setattr(coordinator_module, "time", clock)
     coordinator, _ = make_coordinator(12, MODELS[:models], FixedDemand(needed=1))
-    coordinator.version_named("a", 1)
+    coordinator.version_announced("a", 1)
     clock.now += 10.0
-    coordinator.version_named("a", 2)
+    coordinator.version_announced("a", 2)
     clock.now += 0.5 * loads_module.LATE_STEP_FRACTION * 10.0
     assert len(due_ids(coordinator)) == 6
     for key in due_ids(coordinator):
@@ -145,7 +145,7 @@
 
 async def test_a_sampler_that_can_not_serve_the_newest_job_loads_without_delay():
     coordinator, _ = make_coordinator(6, MODELS[:1], FixedDemand(needed=2))
-    coordinator.version_named("a", 3)
+    coordinator.version_announced("a", 3)
     back_ends = coordinator._registry.of_service("svc")
     back_ends[0].observed_versions["a"] = 2
     assert coordinator._newest["a"].load_after > 0.0 and back_ends[0] not in coordinator._find_due(
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("needed", [2, 7, None])
 async def test_without_an_older_version_allowed_all_samplers_load(needed):
     coordinator, _ = make_coordinator(6, MODELS[:1], FixedDemand(needed))
-    coordinator.version_named("a", 2)
+    coordinator.version_announced("a", 2)
     assert len(due_ids(coordinator)) == 6
 
 
@@ -166,9 +166,9 @@
     monkeypatch.setattr(coordinator_module, "time", clock)
     coordinator, control = make_coordinator(4, ["a"])
     for version in (1, 2):
-        coordinator.version_named("gone", version)
+        coordinator.version_announced("gone", version)
         clock.now += 10.0
-    coordinator.version_named("a", 2)
+    coordinator.version_announced("a", 2)
     await coordinator._reconcile()
     await eventually(lambda: control.loading)
     assert set(control.loading.values()) == {"a"}
