--- a/src/crankseam/orders/running_requests.py
+++ b/src/crankseam/orders/running_requests.py
@@ -18,7 +18,7 @@
 from crankseam.serving.routes import RequestKind, Route
 
 
-def running_requests_under(routes: Iterable[Route]) -> RunningRequests:
+def running_requests_for_routes(routes: Iterable[Route]) -> RunningRequests:
     """Return the least costly treatment of running requests that these routes allow."""
     routes = tuple(routes)
     if any(route.kind is RequestKind.STREAM for route in routes):
--- a/tests/orders/test_running_requests.py
+++ b/tests/orders/test_running_requests.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crankseam.orders.messages import RunningRequests
-from crankseam.orders.running_requests import running_requests_under
+from crankseam.orders.running_requests import running_requests_for_routes
 from crankseam.serving.routes import RequestKind
 from tests.jobs.factories import make_route
 
@@ -21,4 +21,4 @@
     ],
 )
 def test_runs_are_broken_off_only_where_they_go_on_elsewhere(routes, treatment):
-    assert running_requests_under(routes) is treatment
+    assert running_requests_for_routes(routes) is treatment
