--- a/src/crankseam/orders/messages.py
+++ b/src/crankseam/orders/messages.py
@@ -51,14 +51,14 @@
     Attributes
     ==========
 
-    running : how the sampler treats its running requests.
+    running_requests : how the sampler treats its running requests.
     holder : the process that holds the duty to give orders.
     fence : fencing token of that duty.
     """
 
     model: str
     version: int
-    running: RunningRequests
+    running_requests: RunningRequests
     holder: str
     fence: int
     expected_sequence: int
