--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -51,7 +51,7 @@
     kind: Kind
 
 
-class SamplerScaling:
+class SamplerAutoscaler:
     """Orders the samplers that each service needs.
 
     Runs in every process; only the holder of the duty gives orders.
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -11,7 +11,7 @@
 from crankseam.scaling import demand as demand_module
 from crankseam.scaling import ordering as ordering_module
 from crankseam.scaling import supply as supply_module
-from crankseam.scaling.actor import SamplerScaling
+from crankseam.scaling.actor import SamplerAutoscaler
 from crankseam.scaling.model import OrderConflict, ScalingBounds
 from crankseam.serving.back_ends import BackEndRecord, BackEndRegistry
 from crankseam.serving.routes import Configuration, ServiceDefinition
@@ -77,7 +77,7 @@
         self.state = PrefixFollower(store, "state/", lambda key, entry: None)
         self.duty = Duty(store, self.state, self.lease, name, "scaling", 0.2, lambda: ["p", "q"])
         self.lease.relied_on.append(self.duty.is_holder)
-        self.scaling = SamplerScaling(
+        self.scaling = SamplerAutoscaler(
             store,
             self.duty,
             self.registry,
