--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -25,7 +25,7 @@
     Kind,
     Order,
     OrderConflict,
-    SamplerMarket,
+    SamplerProvisioner,
     ScalingBounds,
     ZoneSupply,
 )
@@ -70,7 +70,7 @@
         store: CoordinationStore,
         duty: Duty,
         registry: BackEndRegistry,
-        market: SamplerMarket,
+        provisioner: SamplerProvisioner,
         process: str,
         configuration: Callable[[], Configuration | None],
         peak_open_items: Callable[[str], int | None],
@@ -78,7 +78,7 @@
         self._store = store
         self._duty = duty
         self._registry = registry
-        self._market = market
+        self._provisioner = provisioner
         self._process = process
         self._configuration = configuration
         self._peak_open_items = peak_open_items
@@ -171,7 +171,7 @@
         ordered = self._ordered_count(order)
         outcome = "taken"
         try:
-            await self._market.order_samplers(order, self._process, fence)
+            await self._provisioner.order_samplers(order, self._process, fence)
             ordered.taken(order.count, time.monotonic())
         except OrderConflict:
             outcome = await self._resolve_conflict(order, fence)
--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -1,6 +1,6 @@
 """Data types of sampler scaling: the operator's limits, the present samplers, and orders.
 
-Independent of any wire format: an adapter implements `SamplerMarket` with the calls of its
+Independent of any wire format: an adapter implements `SamplerProvisioner` with the calls of its
 platform.
 """
 
@@ -73,7 +73,7 @@
     reason: str
 
 
-class SamplerMarket(Protocol):
+class SamplerProvisioner(Protocol):
     """Interface of the platform that provides samplers."""
 
     async def order_samplers(self, order: Order, holder: str, fence: int) -> None:
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -23,7 +23,7 @@
 CONFIGURATION = Configuration(1, services={"llm": ServiceDefinition("llm", scaling=BOUNDS)})
 
 
-class FakeMarket:
+class FakeProvisioner:
     """Accepts orders as the platform does; samplers serve at once, unless the zone is exhausted."""
 
     def __init__(self, registries):
@@ -66,13 +66,13 @@
 
 
 class Process:
-    def __init__(self, store, name, market):
+    def __init__(self, store, name, provisioner):
         self.name = name
         self.items = 24
         self.registry = BackEndRegistry()
         for zone in ZONES:
             self.registry.update(record(f"standing-{zone}", zone))
-        market.registries.append(self.registry)
+        provisioner.registries.append(self.registry)
         self.lease = ProcessLease(store)
         self.state = PrefixFollower(store, "state/", lambda key, entry: None)
         self.duty = Duty(store, self.state, self.lease, name, "scaling", 0.2, lambda: ["p", "q"])
@@ -81,7 +81,7 @@
             store,
             self.duty,
             self.registry,
-            market,
+            provisioner,
             name,
             lambda: CONFIGURATION,
             lambda model: self.items,
@@ -107,96 +107,103 @@
     monkeypatch.setattr(supply_module, "SETTLE_TIME_S", 0.1)
     monkeypatch.setattr(demand_module, "STABILIZATION_WINDOW_S", 0.3)
     monkeypatch.setattr(ordering_module, "ARRIVAL_GRACE_S", 0.5)
-    store, market = MemoryStore(), FakeMarket([])
+    store, provisioner = MemoryStore(), FakeProvisioner([])
     async with AsyncExitStack() as stack:
-        processes = [await stack.enter_async_context(Process(store, name, market)) for name in "pq"]
+        processes = [
+            await stack.enter_async_context(Process(store, name, provisioner)) for name in "pq"
+        ]
         await eventually(lambda: any(one.duty.is_holder() for one in processes))
-        yield store, market, processes
+        yield store, provisioner, processes
 
 
 async def test_one_process_orders_what_is_missing_and_then_nothing_more(two_processes):
-    _, market, _ = two_processes
+    _, provisioner, _ = two_processes
     await eventually(
-        lambda: sum(market.desired.values()) == 6, "the largest number before the work is known"
+        lambda: sum(provisioner.desired.values()) == 6,
+        "the largest number before the work is known",
     )
-    await eventually(lambda: sum(market.desired.values()) == 1, "24 items, 8 slots, 2 standing")
-    calls = len(market.calls)
+    await eventually(
+        lambda: sum(provisioner.desired.values()) == 1, "24 items, 8 slots, 2 standing"
+    )
+    calls = len(provisioner.calls)
     await asyncio.sleep(0.5)
-    assert len(market.calls) == calls
-    assert len({holder for holder, *_ in market.calls}) == 1
+    assert len(provisioner.calls) == calls
+    assert len({holder for holder, *_ in provisioner.calls}) == 1
 
 
 async def test_a_need_that_grows_is_met(two_processes):
-    _, market, processes = two_processes
-    await eventually(lambda: sum(market.desired.values()) == 1)
+    _, provisioner, processes = two_processes
+    await eventually(lambda: sum(provisioner.desired.values()) == 1)
     for process in processes:
         process.items = 64
     await eventually(
-        lambda: market.desired == {"a": 3, "b": 3}, "never more than the largest number"
+        lambda: provisioner.desired == {"a": 3, "b": 3}, "never more than the largest number"
     )
 
 
 @pytest.mark.parametrize("failure", [DutyRefused, DutyUnanswered])
 async def test_an_order_that_fails_is_given_again(two_processes, failure):
-    _, market, _ = two_processes
-    market.failures = [failure] * 3
-    await eventually(lambda: sum(market.desired.values()) == 1 and not market.failures)
+    _, provisioner, _ = two_processes
+    provisioner.failures = [failure] * 3
+    await eventually(lambda: sum(provisioner.desired.values()) == 1 and not provisioner.failures)
 
 
 async def test_what_an_exhausted_zone_lacks_comes_from_another_and_it_is_asked_again(two_processes):
-    _, market, processes = two_processes
-    market.exhausted = {"b"}
+    _, provisioner, processes = two_processes
+    provisioner.exhausted = {"b"}
     for process in processes:
         process.items = 40
     await eventually(
-        lambda: market.desired.get("a") == 3, "all missing samplers from the other zone"
+        lambda: provisioner.desired.get("a") == 3, "all missing samplers from the other zone"
     )
-    market.exhausted = set()
-    await eventually(lambda: market.desired.get("b", 0) >= 1)
+    provisioner.exhausted = set()
+    await eventually(lambda: provisioner.desired.get("b", 0) >= 1)
     holder = next(one for one in processes if one.duty.is_holder())
     assert holder.duty._refused_fence == 0, "an exhausted zone must not count as a newer holder"
 
 
 async def test_samplers_that_were_taken_away_are_ordered_again(two_processes):
-    _, market, processes = two_processes
+    _, provisioner, processes = two_processes
     for process in processes:
         process.items = 64
-    await eventually(lambda: market.desired == {"a": 3, "b": 3})
-    calls = len(market.calls)
-    market.reclaim("b")
-    await eventually(lambda: len(market.calls) > calls)
-    assert market.calls[-1][2:] == market.calls[-1][2:3] + market.calls[-1][3:4] + (3,)
+    await eventually(lambda: provisioner.desired == {"a": 3, "b": 3})
+    calls = len(provisioner.calls)
+    provisioner.reclaim("b")
+    await eventually(lambda: len(provisioner.calls) > calls)
+    assert provisioner.calls[-1][2:] == provisioner.calls[-1][2:3] + provisioner.calls[-1][3:4] + (
+        3,
+    )
 
 
 async def test_a_newer_holder_ends_the_orders_of_the_old_one(two_processes):
-    store, market, processes = two_processes
-    await eventually(lambda: market.calls)
+    store, provisioner, processes = two_processes
+    await eventually(lambda: provisioner.calls)
     holder = next(one for one in processes if one.duty.is_holder())
     other = next(one for one in processes if one is not holder)
-    fence = market.calls[-1][1]
+    fence = provisioner.calls[-1][1]
     await store.commit(Transaction(puts=[Put("state/scaling/holder", b"somebody")]))
-    for subject in market.highest_fences:
-        market.highest_fences[subject] = fence + 1000
+    for subject in provisioner.highest_fences:
+        provisioner.highest_fences[subject] = fence + 1000
     for process in processes:
         process.items = 64
     await asyncio.sleep(0.5)
-    assert all(call[1] <= fence for call in market.calls)
+    assert all(call[1] <= fence for call in provisioner.calls)
     assert holder.duty.fence() is None and other.duty.fence() is None
 
 
 async def test_a_standing_sampler_that_crashes_and_returns_costs_no_spot_sampler(
     two_processes, monkeypatch
 ):
-    _, market, processes = two_processes
+    _, provisioner, processes = two_processes
     for process in processes:
         process.items = 64
-    await eventually(lambda: market.desired == {"a": 3, "b": 3})
+    await eventually(lambda: provisioner.desired == {"a": 3, "b": 3})
     monkeypatch.setattr(demand_module, "STABILIZATION_WINDOW_S", 60.0)
-    calls = len(market.calls)
+    calls = len(provisioner.calls)
     for process in processes:
         process.registry.remove("standing-a")
     await asyncio.sleep(0.3)
     for process in processes:
         process.registry.update(record("standing-a", "a"))
     await asyncio.sleep(0.3)
-    assert len(market.calls) == calls
+    assert len(provisioner.calls) == calls
