--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -125,7 +125,7 @@
         now = time.monotonic()
         if not back_ends or not self._supply.is_settled(now):
             return
-        need = self._stabilized_need(service, back_ends, bounds.largest * len(supply))
+        need = self._stabilized_need(service, back_ends, bounds.max_samplers * len(supply))
         exhausted = {
             zone for zone in supply if self._exhausted_zones.is_exhausted(service, zone, now)
         }
--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -40,15 +40,15 @@
     Attributes
     ==========
 
-    smallest, largest : minimum and maximum number of samplers in a zone, of both kinds together.
+    min_samplers, max_samplers : minimum and maximum number of samplers in a zone, of both kinds together.
     boot_s : seconds from an order until the sampler serves requests.
     spot_price : price of a spot sampler as a fraction of the price of a standing one; None if the
         service has no spot samplers.
     zone_prices : price of a standing sampler per second, by zone.
     """
 
-    smallest: int
-    largest: int
+    min_samplers: int
+    max_samplers: int
     boot_s: float = DEFAULT_BOOT_S
     spot_price: float | None = None
     zone_prices: dict[str, float] = field(default_factory=dict)
--- a/src/crankseam/scaling/plan.py
+++ b/src/crankseam/scaling/plan.py
@@ -89,7 +89,7 @@
     limits = {
         zone: supply[zone].spot
         if zone in exhausted
-        else max(0, bounds.largest - supply[zone].standing)
+        else max(0, bounds.max_samplers - supply[zone].standing)
         for zone in supply
     }
     more = max(0, desired - sum(zone_supply.standing for zone_supply in supply.values()))
@@ -111,15 +111,15 @@
     Each zone gets its minimum, and the remaining samplers are distributed by `spread`.
     """
     limits = {
-        zone: supply[zone].standing - bounds.smallest
+        zone: supply[zone].standing - bounds.min_samplers
         if zone in exhausted
-        else bounds.largest - bounds.smallest
+        else bounds.max_samplers - bounds.min_samplers
         for zone in supply
     }
-    minimum = bounds.smallest * len(supply)
+    minimum = bounds.min_samplers * len(supply)
     additional = spread(max(0, desired - minimum), limits, bounds.zone_prices)
     return [
-        _order(service, zone, Kind.STANDING, bounds.smallest + additional[zone], desired)
+        _order(service, zone, Kind.STANDING, bounds.min_samplers + additional[zone], desired)
         for zone in sorted(additional)
     ]
 
--- a/tests/scaling/test_plan.py
+++ b/tests/scaling/test_plan.py
@@ -8,8 +8,8 @@
 PRICES = {"a": 1.0, "b": 0.8, "c": 1.25}
 
 
-def bounds(smallest=1, largest=15, spot_price=0.18):
-    return ScalingBounds(smallest, largest, 4.0, spot_price, PRICES)
+def bounds(min_samplers=1, max_samplers=15, spot_price=0.18):
+    return ScalingBounds(min_samplers, max_samplers, 4.0, spot_price, PRICES)
 
 
 SUPPLY = st.fixed_dictionaries(
@@ -25,18 +25,20 @@
     st.integers(0, 3),
     st.integers(3, 15),
 )
-def test_no_order_goes_beyond_the_bounds(supply, desired, exhausted, spot_price, smallest, largest):
-    allowed = bounds(smallest, largest, spot_price)
+def test_no_order_goes_beyond_the_bounds(
+    supply, desired, exhausted, spot_price, min_samplers, max_samplers
+):
+    allowed = bounds(min_samplers, max_samplers, spot_price)
     for order in plan("s", allowed, supply, desired, exhausted):
         if order.zone in exhausted:
             continue
         assert order.count >= 0
         if order.kind is Kind.SPOT:
             assert order.count + supply[order.zone].standing <= max(
-                largest, supply[order.zone].standing
+                max_samplers, supply[order.zone].standing
             )
         else:
-            assert smallest <= order.count <= largest
+            assert min_samplers <= order.count <= max_samplers
 
 
 @given(SUPPLY, st.integers(0, 45))
