--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -198,7 +198,7 @@
 
     # --- acquisition
 
-    async def take_turn(self) -> int | None:
+    async def acquire_if_vacant(self) -> int | None:
         """Try to acquire the duty if it is vacant; return the fencing token as `fence` does.
 
         Must be called often, because it also records the start of a vacancy (see `is_vacant`).
--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -100,7 +100,7 @@
         scaled = self._scaled_services()
         if not scaled:
             return
-        fence = await self._duty.take_turn()
+        fence = await self._duty.acquire_if_vacant()
         if fence is None:
             return
         if fence != self._fence:
--- a/src/crankseam/usage/reporter.py
+++ b/src/crankseam/usage/reporter.py
@@ -131,7 +131,7 @@
             await self._look()
 
     async def _look(self) -> None:
-        fence = await self._duty.take_turn()
+        fence = await self._duty.acquire_if_vacant()
         if fence is None:
             if not self._duty.is_holder():
                 self._forget()
--- a/tests/coordination/test_duty_machine.py
+++ b/tests/coordination/test_duty_machine.py
@@ -87,7 +87,7 @@
     async def _act(self):
         while True:
             await asyncio.sleep(0.01)
-            fence = await self.duty.take_turn()
+            fence = await self.duty.acquire_if_vacant()
             if fence is None:
                 continue
             if self.frozen_s:
