--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -153,7 +153,7 @@
 
     # --- eligibility to acquire
 
-    def may_try(self) -> bool:
+    def may_acquire(self) -> bool:
         """Whether this process may try to acquire the duty now."""
         if not self._lease.is_held():
             return False
@@ -204,7 +204,7 @@
         Must be called often, because it also records the start of a vacancy (see `is_vacant`).
         """
         self.is_vacant()
-        if self.may_try():
+        if self.may_acquire():
             await asyncio.sleep(self._turn_delay_s())
             await self.try_acquire()
         return self.fence()
@@ -217,14 +217,14 @@
 
     async def try_acquire(self) -> None:
         """Try once to acquire the duty."""
-        if not self.may_try():
+        if not self.may_acquire():
             return
         try:
             lease = await self._lease.ensure()
         except KeyValueError as error:
             log.warning("duty_not_won", extra={"duty": self.name, "error": type(error).__name__})
             return
-        if not self.may_try():
+        if not self.may_acquire():
             return
         current, last = self._current_entry(), self._state.entries.get(self._last_holder_key)
         conditions = [
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -137,14 +137,14 @@
         If loads are due and this process may try to acquire the duty, try that instead.
         """
         self._duty.is_vacant()
-        may_try = self._duty.may_try()
-        if not may_try and self._duty.fence() is None:
+        may_acquire = self._duty.may_acquire()
+        if not may_acquire and self._duty.fence() is None:
             return
         assigned = self._assignment()
         due_loads = self._due_loads(assigned)
         if not due_loads:
             return
-        if may_try:
+        if may_acquire:
             await asyncio.sleep(random.uniform(0.0, ACQUIRE_JITTER_S))
             await self._duty.try_acquire()
             return
--- a/tests/coordination/test_duty.py
+++ b/tests/coordination/test_duty.py
@@ -63,7 +63,7 @@
     assert first.holder.fence() is None
     await eventually(second.holder.is_vacant)
     vacant_at = asyncio.get_running_loop().time()
-    await eventually(second.holder.may_try)
+    await eventually(second.holder.may_acquire)
     await second.acquire()
     assert second.holder.fence() is None, "orders of the former holder may still be in flight"
     await eventually(lambda: second.holder.fence() is not None)
@@ -76,8 +76,8 @@
     await first.acquire()
     fence = first.holder.fence()
     async with Process(store, "a") as again:
-        assert again.holder.may_try(), "it is the former holder itself"
-        assert not second.holder.may_try()
+        assert again.holder.may_acquire(), "it is the former holder itself"
+        assert not second.holder.may_acquire()
         await again.holder.try_acquire()
         await eventually(lambda: again.holder.fence() is not None)
         assert again.holder.fence() > fence
@@ -89,8 +89,8 @@
     await first.acquire()
     store.expire_lease(first.lease.number)
     await eventually(second.holder.is_vacant)
-    assert not second.holder.may_try()
-    await eventually(second.holder.may_try)
+    assert not second.holder.may_acquire()
+    await eventually(second.holder.may_acquire)
 
 
 async def test_no_order_while_the_lease_cannot_be_proved(two_processes):
@@ -115,7 +115,7 @@
     fence = first.holder.fence()
     first.holder.refuse(fence)
     assert first.holder.fence() is None
-    assert first.holder.may_try(), "this process still holds the duty, but needs a newer token"
+    assert first.holder.may_acquire(), "this process still holds the duty, but needs a newer token"
     await first.holder.try_acquire()
     await eventually(lambda: (first.holder.fence() or 0) > fence)
 
@@ -187,7 +187,7 @@
         first.machine.suspend()
         await eventually(lambda: second.holder._current_entry() is not None)
         await eventually(second.holder.is_vacant)
-        await eventually(second.holder.may_try)
+        await eventually(second.holder.may_acquire)
         await second.holder.try_acquire()
         await eventually(lambda: second.holder.fence() is not None)
         first.machine.resume()
--- a/tests/orders/test_version_coordinator.py
+++ b/tests/orders/test_version_coordinator.py
@@ -21,7 +21,7 @@
     def is_vacant(self):
         return False
 
-    def may_try(self):
+    def may_acquire(self):
         return False
 
     def fence(self):
