--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -188,10 +188,10 @@
             return None
         if entry.revision != self._held_revision:
             # The transaction that acquired the duty was committed, but its answer was lost.
-            self._won(entry.revision, self._handover_pause_s)
+            self._record_acquisition(entry.revision, self._handover_pause_s)
         return entry.revision if self._clock() >= self._may_act_at else None
 
-    def _won(self, revision: int, pause_s: float) -> None:
+    def _record_acquisition(self, revision: int, pause_s: float) -> None:
         self._held_revision = revision
         self._may_act_at = self._clock() + pause_s
         log.info("duty_won", extra={"duty": self.name, "fence": revision, "pause": pause_s})
@@ -242,9 +242,11 @@
             log.warning("duty_not_won", extra={"duty": self.name, "error": type(error).__name__})
             return
         is_handover = last is not None and last.value != name
-        self._won(revision, self._remaining_pause() if is_handover else 0.0)
+        self._record_acquisition(
+            revision, self._remaining_handover_pause_s() if is_handover else 0.0
+        )
 
-    def _remaining_pause(self) -> float:
+    def _remaining_handover_pause_s(self) -> float:
         """Seconds left of the handover pause.
 
         The pause counts from the start of the vacancy, because the former holder did not act after
