--- a/src/crankseam/coordination/process_lease.py
+++ b/src/crankseam/coordination/process_lease.py
@@ -70,7 +70,7 @@
         """Called with the number of each new lease; keys bound to the old one must be rewritten."""
         self.on_recovered: list[Callable[[], None]] = []
         """Called when a renewal succeeds after a failure."""
-        self.relied_on: list[Callable[[], bool | int]] = []
+        self.reliance_checks: list[Callable[[], bool | int]] = []
         """Each tells whether other processes would have to wait for the end of the lease if this
         process failed."""
         self._failing = False
@@ -137,14 +137,14 @@
                     await self._renew_or_replace(True)
         return self.number
 
-    def renew_soon(self) -> None:
+    def request_renewal(self) -> None:
         """Request a renewal now, because the state of the lease is unknown after a suspension."""
         self._renewal_requested.set()
 
     def _is_relied_on(self) -> bool:
-        return any(is_needed() for is_needed in self.relied_on)
+        return any(is_needed() for is_needed in self.reliance_checks)
 
-    def forget(self) -> None:
+    def mark_expired(self) -> None:
         """Discard the lease, because the store reported that it has expired."""
         self.number = 0
         self._held_until = float("-inf")
@@ -170,7 +170,7 @@
             duration_s = await self._store.renew_lease(self.number)
         except LeaseExpired:
             log.warning("lease_lost", extra={"lease": self.number})
-            self.forget()
+            self.mark_expired()
             await self._renew_or_replace(short)
             return
         self._extend_hold(requested_at, duration_s)
--- a/src/crankseam/jobs/acceptance.py
+++ b/src/crankseam/jobs/acceptance.py
@@ -135,7 +135,7 @@
                 item_s = self._item_seconds.mean_s(job)
                 return _AcceptedJob(await self._repository.create(job, lease, item_s), lease)
             except LeaseExpired:
-                self._lease.forget()
+                self._lease.mark_expired()
             except KeyValueError as error:
                 unknown = unknown or not isinstance(error, KeyValueUnavailable)
                 delay = backoff.next_delay()
--- a/tests/coordination/test_duty_machine.py
+++ b/tests/coordination/test_duty_machine.py
@@ -80,7 +80,7 @@
         self.duty = Duty(
             self.client, self.state, self.lease, name, "usage", PAUSE_S, lambda: list(NAMES)
         )
-        self.lease.relied_on.append(self.duty.is_holder)
+        self.lease.reliance_checks.append(self.duty.is_holder)
         work = (self.lease.run, self.state.run, self._act)
         self.tasks = [asyncio.create_task(one()) for one in work]
 
--- a/tests/coordination/test_process_lease.py
+++ b/tests/coordination/test_process_lease.py
@@ -74,7 +74,7 @@
 async def test_a_process_that_others_rely_on_wins_a_short_lease():
     store, relied_on = MemoryStore(), []
     lease = ProcessLease(store)
-    lease.relied_on.append(lambda: bool(relied_on))
+    lease.reliance_checks.append(lambda: bool(relied_on))
     await lease._renew_once()
     idle = lease.number
     await lease._renew_once()
@@ -114,7 +114,7 @@
     monkeypatch.setattr(store, "renew_lease", counted)
     for relied_on in (True, False):
         lease = ProcessLease(store)
-        lease.relied_on.append(lambda relied_on=relied_on: relied_on)
+        lease.reliance_checks.append(lambda relied_on=relied_on: relied_on)
         task = asyncio.create_task(lease.run())
         await eventually(lease.is_held)
         if relied_on:
@@ -136,7 +136,7 @@
     monkeypatch.setattr(process_lease, "RETRY_S", 0.02)
     store = MemoryStore()
     lease = ProcessLease(store)
-    lease.relied_on.append(lambda: True)
+    lease.reliance_checks.append(lambda: True)
     await lease.ensure()
     store.faults.down = True
     task = asyncio.create_task(lease.run())
--- a/tests/jobs/test_peer_reads.py
+++ b/tests/jobs/test_peer_reads.py
@@ -109,7 +109,7 @@
 
 async def test_a_process_that_is_not_the_owner_answers_nobody(pair):
     _, _, owner, other, _ = pair
-    owner.jobs.lease.forget()
+    owner.jobs.lease.mark_expired()
     answer = await other.peer_reads.results("a", "j1", 0, 0.0)
     assert answer is None and await other.peer_reads.item("a", "j1", "j1-i0") is None
 
--- a/tests/scaling/test_actor.py
+++ b/tests/scaling/test_actor.py
@@ -76,7 +76,7 @@
         self.lease = ProcessLease(store)
         self.state = PrefixFollower(store, "state/", lambda key, entry: None)
         self.duty = Duty(store, self.state, self.lease, name, "scaling", 0.2, lambda: ["p", "q"])
-        self.lease.relied_on.append(self.duty.is_holder)
+        self.lease.reliance_checks.append(self.duty.is_holder)
         self.scaling = SamplerAutoscaler(
             store,
             self.duty,
--- a/tests/usage/test_reporter.py
+++ b/tests/usage/test_reporter.py
@@ -51,7 +51,7 @@
         self.state = PrefixFollower(store, "state/", lambda key, entry: None)
         self.clock = TrueClock(WINDOW_S)
         self.duty = Duty(store, self.state, self.lease, name, "usage", PAUSE_S, self.living)
-        self.lease.relied_on.append(self.duty.is_holder)
+        self.lease.reliance_checks.append(self.duty.is_holder)
         self.counter = UsageCounter(self.clock, name, self.duty.holder, self.ask)
         self.reporter = UsageReporter(store, self.duty, self.clock, platform, name, LATE_S)
 
