--- a/src/crankseam/coordination/relay.py
+++ b/src/crankseam/coordination/relay.py
@@ -80,7 +80,7 @@
         self._selector = PeerSelector()
         self._uses_peers = False
         """Whether a peer has made a call since the direct route last worked; logged once."""
-        self.on_direct_again: list[Callable[[], None]] = []
+        self.on_direct_restored: list[Callable[[], None]] = []
         """Called when the direct route works again, to end waits for peers and delays."""
 
     @property
@@ -127,7 +127,7 @@
         if self._uses_peers:
             log.info("store_direct_again")
         self._uses_peers = False
-        for notify in self.on_direct_again:
+        for notify in self.on_direct_restored:
             # Deferred until the successful call has returned, because it may be a watch that the
             # callback cancels and requests again.
             asyncio.get_running_loop().call_soon(notify)
--- a/tests/coordination/test_frozen_peers.py
+++ b/tests/coordination/test_frozen_peers.py
@@ -82,7 +82,7 @@
         )
         follower = PrefixFollower(watches, "op/", lambda key, entry: None, IN_FORCE_S)
         watches.share(follower)
-        on_open = getattr(relay, "on_direct_again", None)
+        on_open = getattr(relay, "on_direct_restored", None)
         if on_open is not None:
             on_open.append(follower.restart)
         self.relays[name], self.watches[name] = relay, watches
