--- a/src/crankseam/coordination/peer_http.py
+++ b/src/crankseam/coordination/peer_http.py
@@ -36,9 +36,9 @@
 MAX_CALL_BYTES = 4 * 1024 * 1024
 """The listener rejects calls with a larger body."""
 BROADCAST_TIMEOUT_S = 1.0
-"""Time limit for each peer in `PeerClient.tell_all`; a slower peer is left out."""
+"""Time limit for each peer in `PeerClient.broadcast`; a slower peer is left out."""
 BROADCAST_CONCURRENCY = 32
-"""Number of peers that `PeerClient.tell_all` calls concurrently. A slow CPU core opens only about a
+"""Number of peers that `PeerClient.broadcast` calls concurrently. A slow CPU core opens only about a
 hundred connections per second."""
 
 CallHandler = Callable[[bytes], Awaitable[bytes]]
@@ -86,7 +86,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise KeyValueOutcomeUnknown(f"peer: {type(error).__name__}") from error
 
-    async def tell_all(self, path: str, addresses: list[str], body: bytes) -> None:
+    async def broadcast(self, path: str, addresses: list[str], body: bytes) -> None:
         """Post ``body`` to a path of many peers; failures are logged and otherwise ignored."""
         semaphore = asyncio.Semaphore(BROADCAST_CONCURRENCY)
 
