--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -112,11 +112,11 @@
         """Whether this process watches the store itself."""
         return self._roles().is_watcher
 
-    def is_answerer(self) -> bool:
+    def serves_readers(self) -> bool:
         """Whether this process is a watcher or a mirror, and so answers readers."""
-        return self._roles().is_answerer
+        return self._roles().serves_readers
 
-    def _pick_answerer(self, roles: WatchRoles) -> Peer | None:
+    def _pick_feed_server(self, roles: WatchRoles) -> Peer | None:
         """Pick a random process to ask; None if the store must be called instead."""
         available = [peer for peer in roles.feed_sources() if not self._is_avoided(peer)]
         return random.choice(available) if available else None
@@ -129,9 +129,9 @@
 
     async def page(self, prefix: str, after_key: str = "") -> Page:
         """See WatchedStore; a watcher or mirror returns the whole prefix as one page."""
-        answerer = self._pick_answerer(self._roles()) if not after_key else None
-        if answerer is not None:
-            answer = await self._ask_peer(answerer, FeedQuestion(prefix, -1, 0.0))
+        feed_server = self._pick_feed_server(self._roles()) if not after_key else None
+        if feed_server is not None:
+            answer = await self._ask_peer(feed_server, FeedQuestion(prefix, -1, 0.0))
             if (
                 answer is not None
                 and not answer.refusal
@@ -160,11 +160,11 @@
         roles = self._roles()
         if roles.is_watcher:
             return await self._watch_as_watcher(prefix, after_revision, wait_s)
-        answerer = self._pick_answerer(roles)
-        if answerer is not None:
-            wait_s = self._times.mirror_wait_s if roles.is_answerer else self._times.fresh_s
+        feed_server = self._pick_feed_server(roles)
+        if feed_server is not None:
+            wait_s = self._times.mirror_wait_s if roles.serves_readers else self._times.fresh_s
             question = FeedQuestion(prefix, after_revision, wait_s)
-            answer = await self._ask_peer(answerer, question)
+            answer = await self._ask_peer(feed_server, question)
             if answer is not None and answer.refusal == REFUSED_COMPACTED:
                 raise HistoryCompacted(prefix)
             if answer is not None:
@@ -236,7 +236,7 @@
 
     async def _answer(self, question: FeedQuestion) -> FeedAnswer:
         follower = self._followers.get(question.prefix)
-        if follower is None or follower.feed is None or not self.is_answerer():
+        if follower is None or follower.feed is None or not self.serves_readers():
             raise KeyValueUnavailable("this process answers nobody")
         if question.after_revision < 0:
             follower.feed.check_fresh()
--- a/src/crankseam/coordination/watch_roles.py
+++ b/src/crankseam/coordination/watch_roles.py
@@ -5,14 +5,14 @@
 Rule: the two processes that were announced first are the watchers; they watch the store. Where two
 watchers could not serve all other processes, the next ones are mirrors: they follow the watchers
 and serve readers as the watchers do. All others are readers: they ask any watcher or mirror, and
-call the store if none answers. Watchers and mirrors are the answerers.
+call the store if none answers. Watchers and mirrors are the feed servers.
 Purpose: each pending watch, and each change that it returns, is a call of the store that is charged
 for and limited in number (17,574 -> 9,322 calls a day with 68 processes).
 Logged as: `watcher_avoided`.
 Tested by: tests/coordination/test_watch_roles.py and tests/coordination/test_shared_watch.py.
 
 Each process computes the roles from its own copy of the list. If the copies differ, the only cost
-is an additional call: a process that is no answerer by its own copy refuses to answer, and each
+is an additional call: a process that is no feed server by its own copy refuses to answer, and each
 answer carries its age.
 """
 
@@ -22,8 +22,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-PROCESSES_PER_ANSWERER = 40
-"""Maximum number of processes for each answerer. A reader has three requests pending at a time; the
+PROCESSES_PER_FEED_SERVER = 40
+"""Maximum number of processes for each feed server. A reader has three requests pending at a time; the
 requests of this many readers use about 5 % of a slow CPU core."""
 WATCHERS = 2
 """Number of watchers. Each change costs one call of each watcher; the second watcher is there for
@@ -45,21 +45,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRoles:
-    """The watchers and the answerers according to one process.
+    """The watchers and the feed servers according to one process.
 
     Attributes
     ==========
 
     watchers : the processes that watch the store.
-    answerers : the processes that answer readers: first the watchers, then the mirrors.
-    is_watcher, is_answerer : whether this process has the role. If no other process is eligible,
+    feed_servers : the processes that answer readers: first the watchers, then the mirrors.
+    is_watcher, serves_readers : whether this process is a watcher, and a feed server. If no other process is eligible,
         it has both roles and calls the store itself.
     """
 
     watchers: list[Peer]
-    answerers: list[Peer]
+    feed_servers: list[Peer]
     is_watcher: bool
-    is_answerer: bool
+    serves_readers: bool
 
     def feed_sources(self) -> list[Peer]:
         """The processes whose feed this process may follow.
@@ -69,7 +69,7 @@
         """
         if self.is_watcher:
             return []
-        return self.watchers if self.is_answerer else self.answerers
+        return self.watchers if self.serves_readers else self.feed_servers
 
 
 def watcher_count(processes: int) -> int:
@@ -84,16 +84,16 @@
     return processes if processes < MIN_PROCESSES_FOR_SHARING else WATCHERS
 
 
-def answerer_count(processes: int) -> int:
-    """Number of answerers among a number of processes: the watchers, and mirrors where necessary.
+def feed_server_count(processes: int) -> int:
+    """Number of feed servers among a number of processes: the watchers, and mirrors where necessary.
 
     Examples
     ========
 
-    >>> [answerer_count(n) for n in (3, 7, 68, 420)]
+    >>> [feed_server_count(n) for n in (3, 7, 68, 420)]
     [3, 2, 2, 11]
     """
-    return max(watcher_count(processes), math.ceil(processes / PROCESSES_PER_ANSWERER))
+    return max(watcher_count(processes), math.ceil(processes / PROCESSES_PER_FEED_SERVER))
 
 
 def has_readers(processes: int) -> bool:
@@ -113,9 +113,9 @@
     oldest_first = sorted(processes, key=lambda peer: (peer.revision, peer.name))
     eligible = [peer for peer in oldest_first if not is_excluded(peer)]
     watchers = eligible[: watcher_count(len(processes))]
-    answerers = eligible[: answerer_count(len(processes))]
+    feed_servers = eligible[: feed_server_count(len(processes))]
     return WatchRoles(
-        watchers, answerers, _has_role(watchers, process), _has_role(answerers, process)
+        watchers, feed_servers, _has_role(watchers, process), _has_role(feed_servers, process)
     )
 
 
--- a/src/crankseam/coordination/watch_times.py
+++ b/src/crankseam/coordination/watch_times.py
@@ -1,4 +1,4 @@
-"""Durations of watches and of requests to answerers, so that each change arrives in time.
+"""Durations of watches and of requests to feed servers, so that each change arrives in time.
 
 Inputs: the bound in seconds within which an accepted change must be in force at every process.
 Rule: a feed answers while its last confirmation is more recent than a fraction of the bound, and a
--- a/tests/coordination/test_shared_watch.py
+++ b/tests/coordination/test_shared_watch.py
@@ -111,9 +111,9 @@
 
 
 async def test_mirrors_answer_where_there_are_many_and_do_not_call_the_store(monkeypatch):
-    monkeypatch.setattr(watch_roles, "PROCESSES_PER_ANSWERER", 5)
+    monkeypatch.setattr(watch_roles, "PROCESSES_PER_FEED_SERVER", 5)
     async with Fleet(20).following() as fleet:
-        mirrors = [one for one in fleet.watches if one.is_answerer() and not one.is_watcher()]
+        mirrors = [one for one in fleet.watches if one.serves_readers() and not one.is_watcher()]
         assert [one._process for one in mirrors] == ["p02", "p03"]
         before = [client.calls for client in fleet.clients]
         asked = set()
@@ -136,7 +136,7 @@
 
 
 async def test_readers_of_a_mirror_whose_watchers_are_silent_learn_in_time(monkeypatch):
-    monkeypatch.setattr(watch_roles, "PROCESSES_PER_ANSWERER", 5)
+    monkeypatch.setattr(watch_roles, "PROCESSES_PER_FEED_SERVER", 5)
     async with Fleet(20, in_force_s=0.3).following() as fleet:
         fleet.silent = {0, 1}
         await fleet.put("a/new")
@@ -329,7 +329,7 @@
         assert not reader._is_avoided(peer) and peer in reader._roles().watchers
 
 
-async def test_a_stale_watch_and_a_silent_answerer_together_hide_no_change_for_too_long():
+async def test_a_stale_watch_and_a_silent_feed_server_together_hide_no_change_for_too_long():
     """A reader that calls the store itself may get a stale watch, and then ask a frozen process."""
     fleet = Fleet(8, in_force_s=2.0)
     fleet.silent = {0, 1}
@@ -346,7 +346,7 @@
     await reader.watch("a/", 0, 1.8)
     asked_s = time.monotonic() - asked_at
     assert len(waits) == 1
-    assert waits[0] + asked_s < 2.0, "a stale watch and a silent answerer together"
+    assert waits[0] + asked_s < 2.0, "a stale watch and a silent feed server together"
     watcher = SharedWatches(client, lambda: fleet.peers, "p00", fleet.ask, 2.0, client.answered_at)
     await watcher.watch("a/", 0, 1.8)
     assert waits[1] > waits[0], "a watcher asks no other process first"
--- a/tests/coordination/test_watch_roles.py
+++ b/tests/coordination/test_watch_roles.py
@@ -3,11 +3,11 @@
 from hypothesis import strategies as st
 
 from crankseam.coordination.watch_roles import (
-    PROCESSES_PER_ANSWERER,
+    PROCESSES_PER_FEED_SERVER,
     WATCHERS,
     Peer,
-    answerer_count,
     assign_roles,
+    feed_server_count,
     has_readers,
     watcher_count,
 )
@@ -28,9 +28,9 @@
     count = watcher_count(processes)
     assert 1 <= count <= processes
     assert count == processes or count == WATCHERS, "the cost of a change must not grow"
-    answerers = answerer_count(processes)
-    assert count <= answerers <= processes
-    assert processes / answerers <= PROCESSES_PER_ANSWERER
+    feed_servers = feed_server_count(processes)
+    assert count <= feed_servers <= processes
+    assert processes / feed_servers <= PROCESSES_PER_FEED_SERVER
 
 
 def test_those_that_have_been_there_longest_watch_whoever_works_it_out():
@@ -38,7 +38,7 @@
     seen = [assign_roles(known[::step], "p099", lambda peer: False) for step in (1, -1)]
     assert seen[0] == seen[1]
     assert [peer.name for peer in seen[0].watchers] == ["p000", "p001"]
-    assert [peer.name for peer in seen[0].answerers] == ["p000", "p001", "p002"]
+    assert [peer.name for peer in seen[0].feed_servers] == ["p000", "p001", "p002"]
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("excluded", [NOBODY, {"p000", "p001", "p002"}])
 def test_where_nobody_is_known_each_acts_for_itself(excluded):
     seen = roles(3 if excluded else 0, "p000", excluded)
-    assert seen.is_watcher and seen.is_answerer and seen.feed_sources() == []
+    assert seen.is_watcher and seen.serves_readers and seen.feed_sources() == []
 
 
 @pytest.mark.parametrize(("processes", "expected"), [(0, False), (3, False), (4, True)])
