--- a/src/crankseam/coordination/presence.py
+++ b/src/crankseam/coordination/presence.py
@@ -21,8 +21,8 @@
 
 CHECK_INTERVAL_S = 1.0
 """Interval in seconds at which a process checks whether it must announce itself (again)."""
-PROCESS_FOLDER = "process/"
-"""Path below the state prefix that contains one key for each live process."""
+PROCESS_PREFIX = "process/"
+"""Prefix, below the state prefix, of the keys of the live processes, one for each."""
 DEFAULT_CAPACITY = 1.0
 """Capacity of a machine that announces none; machines without capacities all rank equally."""
 ProcessAsker = Callable[[str, bytes, float], Awaitable[bytes]]
@@ -57,7 +57,7 @@
 
 def living_capacities(state: PrefixFollower) -> dict[str, float]:
     """The announced processes, with the capacities of their machines."""
-    prefix = state.prefix + PROCESS_FOLDER
+    prefix = state.prefix + PROCESS_PREFIX
     return {
         key.removeprefix(prefix): decode_presence(entry.value).capacity
         for key, entry in state.entries.items()
@@ -88,7 +88,7 @@
         self._store = store
         self._state = state
         self._lease = lease
-        self._prefix = state.prefix + PROCESS_FOLDER
+        self._prefix = state.prefix + PROCESS_PREFIX
         self._key = self._prefix + process
         self._announcement = encode_presence(address, capacity)
         self._announced_lease = 0
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -2,7 +2,7 @@
 import time
 
 from crankseam.coordination.interface import Put, Transaction
-from crankseam.coordination.presence import PROCESS_FOLDER, living_capacities
+from crankseam.coordination.presence import PROCESS_PREFIX, living_capacities
 from crankseam.coordination.ranking import rank_processes
 from crankseam.jobs.repository import STATE_PREFIX
 from tests.jobs.factories import make_job
@@ -17,7 +17,7 @@
     names = [f"p{number}" for number in range(12)]
     processes = {name: await start(name) for name in names}
     for name in names:
-        key = STATE_PREFIX + PROCESS_FOLDER + name
+        key = STATE_PREFIX + PROCESS_PREFIX + name
         store.force(Transaction(puts=[Put(key, b"1.1.1.1:1")]))
     await eventually(
         lambda: all(len(living_capacities(one.jobs.state)) == 12 for one in processes.values())
