--- a/src/crankseam/coordination/presence.py
+++ b/src/crankseam/coordination/presence.py
@@ -55,7 +55,7 @@
         return Announcement(address, DEFAULT_CAPACITY)
 
 
-def living_capacities(state: PrefixFollower) -> dict[str, float]:
+def live_capacities(state: PrefixFollower) -> dict[str, float]:
     """The announced processes, with the capacities of their machines."""
     prefix = state.prefix + PROCESS_PREFIX
     return {
@@ -118,7 +118,7 @@
 
     def capacities(self) -> dict[str, float]:
         """All announced processes, with the capacities of their machines."""
-        return living_capacities(self._state)
+        return live_capacities(self._state)
 
     def peers(self) -> list[str]:
         """Addresses of the other processes; if none is listed, the last known addresses."""
--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -15,7 +15,7 @@
 from crankseam import clocks
 from crankseam.coordination.follower import PrefixFollower
 from crankseam.coordination.interface import Entry
-from crankseam.coordination.presence import living_capacities
+from crankseam.coordination.presence import live_capacities
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.errors import KeyValueError
 from crankseam.jobs.demand import ModelDemand, decode_open_job
@@ -164,7 +164,7 @@
 
     def _claim_delay_s(self, job_id: str) -> float:
         return claim_delay_s(
-            self._ranking_subject(job_id), living_capacities(self._state), self._process_name
+            self._ranking_subject(job_id), live_capacities(self._state), self._process_name
         )
 
     def _ranking_subject(self, job_id: str) -> str:
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -2,7 +2,7 @@
 import time
 
 from crankseam.coordination.interface import Put, Transaction
-from crankseam.coordination.presence import PROCESS_PREFIX, living_capacities
+from crankseam.coordination.presence import PROCESS_PREFIX, live_capacities
 from crankseam.coordination.ranking import rank_processes
 from crankseam.jobs.repository import STATE_PREFIX
 from tests.jobs.factories import make_job
@@ -20,7 +20,7 @@
         key = STATE_PREFIX + PROCESS_PREFIX + name
         store.force(Transaction(puts=[Put(key, b"1.1.1.1:1")]))
     await eventually(
-        lambda: all(len(living_capacities(one.jobs.state)) == 12 for one in processes.values())
+        lambda: all(len(live_capacities(one.jobs.state)) == 12 for one in processes.values())
     )
     samplers.hold = asyncio.Event()
     job = make_job()
