--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -34,7 +34,7 @@
     TransactionConflict,
 )
 from crankseam.coordination.process_lease import ProcessLease
-from crankseam.coordination.ranking import rank_processes, turn_delay_s
+from crankseam.coordination.ranking import attempt_delay_s, rank_processes
 from crankseam.errors import CrankseamError, KeyValueError
 
 log = logging.getLogger(__name__)
@@ -205,15 +205,15 @@
         """
         self.is_vacant()
         if self.may_acquire():
-            await asyncio.sleep(self._turn_delay_s())
+            await asyncio.sleep(self._attempt_delay_s())
             await self.try_acquire()
         return self.fence()
 
-    def _turn_delay_s(self) -> float:
+    def _attempt_delay_s(self) -> float:
         """Seconds to wait so that the processes that rank before this one can try first."""
         if self._processes is None or self._own_entry() is not None:
             return 0.0
-        return turn_delay_s(rank_processes(self.name, self._processes()), self._process)
+        return attempt_delay_s(rank_processes(self.name, self._processes()), self._process)
 
     async def try_acquire(self) -> None:
         """Try once to acquire the duty."""
--- a/src/crankseam/coordination/ranking.py
+++ b/src/crankseam/coordination/ranking.py
@@ -20,14 +20,14 @@
 """A machine counts as large if it has at least this fraction of the largest capacity. Compared with
 a ranking of all machines by capacity, this reduced the time from the last result to the listing
 from 0.08 s to 0.05 s with 6 large machines among 68."""
-FIRST_TURN_S = 0.05
+FIRST_ATTEMPT_DELAY_S = 0.05
 """Delay of the process that ranks first."""
-TURN_STEP_S = 0.12
+ATTEMPT_DELAY_STEP_S = 0.12
 """Additional delay of each next process; within it, a process learns that the previous one has
 succeeded."""
-TURN_RANKS = 4
+FIXED_DELAY_RANKS = 4
 """Number of processes that have a fixed delay."""
-TURN_JITTER_S = 0.4
+ATTEMPT_JITTER_S = 0.4
 """Processes of lower ranks try at a random time within this period after the fixed delays."""
 
 
@@ -68,13 +68,13 @@
     return rank_processes(subject, large) + rank_processes(subject, others)
 
 
-def turn_delay_s(ranked: list[str], process: str) -> float:
+def attempt_delay_s(ranked: list[str], process: str) -> float:
     """Seconds that a process waits before it tries to acquire a vacant subject.
 
     During this time the processes that rank before it can try.
     """
-    rank = ranked.index(process) if process in ranked else TURN_RANKS
-    if rank < TURN_RANKS:
-        return FIRST_TURN_S + TURN_STEP_S * rank
-    last = FIRST_TURN_S + TURN_STEP_S * TURN_RANKS
-    return last + random.uniform(0.0, TURN_JITTER_S)
+    rank = ranked.index(process) if process in ranked else FIXED_DELAY_RANKS
+    if rank < FIXED_DELAY_RANKS:
+        return FIRST_ATTEMPT_DELAY_S + ATTEMPT_DELAY_STEP_S * rank
+    last = FIRST_ATTEMPT_DELAY_S + ATTEMPT_DELAY_STEP_S * FIXED_DELAY_RANKS
+    return last + random.uniform(0.0, ATTEMPT_JITTER_S)
--- a/src/crankseam/jobs/take_over.py
+++ b/src/crankseam/jobs/take_over.py
@@ -16,7 +16,7 @@
 
 from __future__ import annotations
 
-from crankseam.coordination.ranking import rank_by_capacity, turn_delay_s
+from crankseam.coordination.ranking import attempt_delay_s, rank_by_capacity
 
 MAX_CLAIM_RETRY_DELAY_S = 1.0
 """Longest delay before a claim is retried while the store does not answer. The delay is random and
@@ -60,4 +60,4 @@
     living : capacities of the machines of the living processes, by process name.
     process : this process's name.
     """
-    return turn_delay_s(rank_by_capacity(subject, living), process)
+    return attempt_delay_s(rank_by_capacity(subject, living), process)
--- a/tests/coordination/test_ranking.py
+++ b/tests/coordination/test_ranking.py
@@ -3,11 +3,11 @@
 
 from crankseam.coordination.presence import DEFAULT_CAPACITY, decode_presence, encode_presence
 from crankseam.coordination.ranking import (
+    FIXED_DELAY_RANKS,
     LARGE_CAPACITY_FRACTION,
-    TURN_RANKS,
+    attempt_delay_s,
     rank_by_capacity,
     rank_processes,
-    turn_delay_s,
 )
 
 CAPACITIES = st.dictionaries(
@@ -32,9 +32,12 @@
 
 def test_turns_come_one_after_the_other():
     ranked = [f"p{number}" for number in range(9)]
-    delays = [turn_delay_s(ranked, name) for name in ranked]
-    assert delays[:TURN_RANKS] == sorted(set(delays[:TURN_RANKS]))
-    assert min([*delays[TURN_RANKS:], turn_delay_s(ranked, "unknown")]) >= delays[TURN_RANKS - 1]
+    delays = [attempt_delay_s(ranked, name) for name in ranked]
+    assert delays[:FIXED_DELAY_RANKS] == sorted(set(delays[:FIXED_DELAY_RANKS]))
+    assert (
+        min([*delays[FIXED_DELAY_RANKS:], attempt_delay_s(ranked, "unknown")])
+        >= delays[FIXED_DELAY_RANKS - 1]
+    )
 
 
 def test_what_a_process_tells_of_itself():
--- a/tests/jobs/test_take_over.py
+++ b/tests/jobs/test_take_over.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankseam.coordination.ranking import FIRST_TURN_S, TURN_STEP_S
+from crankseam.coordination.ranking import ATTEMPT_DELAY_STEP_S, FIRST_ATTEMPT_DELAY_S
 from crankseam.jobs.take_over import claim_delay_s, needs_owner
 
 
@@ -23,5 +23,7 @@
 
 def test_processes_of_large_machines_take_their_turns_first():
     living = {"small": 1.0, "large": 8.0}
-    assert claim_delay_s("m", living, "large") == FIRST_TURN_S
-    assert claim_delay_s("m", living, "small") == pytest.approx(FIRST_TURN_S + TURN_STEP_S)
+    assert claim_delay_s("m", living, "large") == FIRST_ATTEMPT_DELAY_S
+    assert claim_delay_s("m", living, "small") == pytest.approx(
+        FIRST_ATTEMPT_DELAY_S + ATTEMPT_DELAY_STEP_S
+    )
