--- a/src/crankseam/coordination/follower.py
+++ b/src/crankseam/coordination/follower.py
@@ -29,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_S = 2.0
+DEFAULT_WATCH_WAIT_S = 2.0
 """Default wait of a watch in seconds; a watch without changes is then requested again. This bounds
 for how long a stale watch, which is pending at the store but misses changes, can hide a change."""
 ANSWER_SLACK_S = 0.5
@@ -74,7 +74,7 @@
         store: WatchedStore,
         prefix: str,
         on_change: ChangeHandler,
-        wait_s: float = WATCH_S,
+        wait_s: float = DEFAULT_WATCH_WAIT_S,
         coalesce_s: float = 0.0,
     ) -> None:
         self._store = store
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -9,7 +9,7 @@
 
 import logging
 
-from crankseam.coordination.follower import WATCH_S, PrefixFollower
+from crankseam.coordination.follower import DEFAULT_WATCH_WAIT_S, PrefixFollower
 from crankseam.coordination.interface import CoordinationStore, Entry, WatchedStore
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.jobs.acceptance import JobAcceptance
@@ -53,7 +53,7 @@
         maker: ItemMaker,
         find_route: RouteFinder,
         supervisor: Supervisor,
-        watch_wait_s: float = WATCH_S,
+        watch_wait_s: float = DEFAULT_WATCH_WAIT_S,
         watched_store: WatchedStore | None = None,
         owner_client: OwnerClient | None = None,
     ) -> None:
