--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -40,7 +40,7 @@
 from crankseam.jobs.send_outcome import record_send_outcome
 from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
+from crankseam.quarantine.holding import DEFAULT_ITEM_CRASH_LIMIT
 from crankseam.quarantine.model import TrialSubject
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.engine_memory import RunSize
@@ -134,7 +134,7 @@
         self._places = RoutedPlaces(parts.dispatcher, parts.splitter)
         self._client = parts.client
         self._guard = parts.guard
-        self._trial = parts.guard.begin(_subject(job, item), DEFAULT_MOST_ENDS_OF_ITEM)
+        self._trial = parts.guard.begin(_subject(job, item), DEFAULT_ITEM_CRASH_LIMIT)
         self.kept = kept
         self._is_expected_long = is_long
         self._created_at = time.monotonic()
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -32,7 +32,7 @@
 from crankseam.jobs.send_outcome import record_send_outcome
 from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
+from crankseam.quarantine.holding import DEFAULT_CRASH_LIMIT
 from crankseam.quarantine.model import TrialSubject
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
@@ -142,7 +142,7 @@
     ) -> None:
         self._client = client
         self._guard = guard
-        self.trial = guard.begin(_subject(request), DEFAULT_MOST_ENDS)
+        self.trial = guard.begin(_subject(request), DEFAULT_CRASH_LIMIT)
         self._job = job
         self._item = item
         self._request = request
--- a/src/crankseam/quarantine/holding.py
+++ b/src/crankseam/quarantine/holding.py
@@ -20,11 +20,11 @@
 
 from crankseam.serving.routes import RequestKind
 
-DEFAULT_MOST_ENDS = 2
+DEFAULT_CRASH_LIMIT = 2
 """Number of back ends that crash under one request before it is held. With two, a request that was
 interrupted by an unrelated crash is still served at its second attempt, and a request that crashes
 every back end leaves one of a service's three back ends running."""
-DEFAULT_MOST_ENDS_OF_ITEM = 3
+DEFAULT_ITEM_CRASH_LIMIT = 3
 """The same limit for an item of a job. A sampler that crashes interrupts about twelve items, which
 all resume on other samplers at once. With six samplers, two of the twelve again share a sampler
 with the item that causes the crash, and in one of three cases one of them does so a third time."""
@@ -51,9 +51,9 @@
 finished."""
 
 
-def default_most_ends(kind: RequestKind) -> int:
+def default_crash_limit(kind: RequestKind) -> int:
     """Returns the crash limit of requests on routes that do not configure one."""
-    return DEFAULT_MOST_ENDS_OF_ITEM if kind is RequestKind.JOB else DEFAULT_MOST_ENDS
+    return DEFAULT_ITEM_CRASH_LIMIT if kind is RequestKind.JOB else DEFAULT_CRASH_LIMIT
 
 
 def is_held(crashes: int, crash_limit: int) -> bool:
--- a/src/crankseam/quarantine/table.py
+++ b/src/crankseam/quarantine/table.py
@@ -42,7 +42,7 @@
 
     def is_held(self) -> bool:
         """Whether the number of crashes has reached the default limit of requests from callers."""
-        return self.record.is_held(holding.DEFAULT_MOST_ENDS)
+        return self.record.is_held(holding.DEFAULT_CRASH_LIMIT)
 
     def has_expired(self) -> bool:
         """Whether the retention of the suspect is over."""
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -17,7 +17,7 @@
 
 from crankseam import clocks
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.holding import default_most_ends
+from crankseam.quarantine.holding import default_crash_limit
 from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.trial import Send, Trial
 from crankseam.serving import retry
@@ -95,7 +95,7 @@
         """
         service = self._splitter.pick(route)
         give_up_at = retry.give_up_time(request, route)
-        trial = self._guard.begin(trial_subject(request, route), default_most_ends(route.kind))
+        trial = self._guard.begin(trial_subject(request, route), default_crash_limit(route.kind))
         await trial.admit()
         forwarding = _Forwarding(request, route, service, give_up_at, trial)
         history = forwarding.history
