--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -3,7 +3,7 @@
 import contextlib
 
 from crankseam_platform.control import SamplerOrders
-from crankseam_platform.duty_calls import DutyCaller
+from crankseam_platform.duty_calls import DutyClient
 from crankseam_platform.generations import Generations
 from crankseam_platform.sampler import SamplerClient
 from crankseam_platform.scoring_calls import ScoringCalls
@@ -78,7 +78,7 @@
 
 async def test_calls_to_the_duty_service():
     async with RequestRecorder() as recorder:
-        caller = DutyCaller(recorder.address)
+        caller = DutyClient(recorder.address)
         await caller.start()
         await caller.report_usage(7, {"t": 3}, "front-1", 5)
         for kind in Kind:
--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -78,7 +78,7 @@
             await front.supervisor.stop()
             front.ingress.stop_listening()
             await front.samplers.close()
-            await front.duty_caller.close()
+            await front.duty_client.close()
             front.peer_listener.close()
             await front.peer_client.close()
             await front.platform_store.close()
--- a/tests/platform/test_usage.py
+++ b/tests/platform/test_usage.py
@@ -1,7 +1,7 @@
 import msgspec
 import pytest
 from aiohttp import web
-from crankseam_platform.duty_calls import DutyCaller
+from crankseam_platform.duty_calls import DutyClient
 from crankseam_platform_standins.duty_server import DutyServer
 
 from crankseam.coordination.duty import DutyFenced, DutyRefused, DutyUnanswered
@@ -22,15 +22,15 @@
 
 
 @pytest.fixture
-async def duty_caller(platform):
-    client = DutyCaller(platform.address)
+async def duty_client(platform):
+    client = DutyClient(platform.address)
     await client.start()
     yield client
     await client.close()
 
 
-async def test_a_report_says_its_window_counts_holder_and_token(platform, duty_caller):
-    await duty_caller.report_usage(7, {"a": 2}, "front-1", 5)
+async def test_a_report_says_its_window_counts_holder_and_token(platform, duty_client):
+    await duty_client.report_usage(7, {"a": 2}, "front-1", 5)
     (call,) = platform.calls
     assert (call.holder, call.fence, call.body) == (
         "front-1",
@@ -39,18 +39,18 @@
     )
 
 
-async def test_each_way_a_report_fails_is_told_apart(platform, duty_caller, monkeypatch):
+async def test_each_way_a_report_fails_is_told_apart(platform, duty_client, monkeypatch):
     monkeypatch.setattr("crankseam_platform.duty_calls.CALL_TIMEOUT_S", 0.2)
     platform.faults.throttle = 1
     with pytest.raises(DutyRefused):
-        await duty_caller.report_usage(7, {}, "front-1", 5)
-    await duty_caller.report_usage(7, {}, "front-2", 6)
+        await duty_client.report_usage(7, {}, "front-1", 5)
+    await duty_client.report_usage(7, {}, "front-2", 6)
     with pytest.raises(DutyFenced):
-        await duty_caller.report_usage(7, {}, "front-1", 5)
+        await duty_client.report_usage(7, {}, "front-1", 5)
     platform.faults.lose_answers = 1
     with pytest.raises(DutyUnanswered):
-        await duty_caller.report_usage(8, {}, "front-2", 6)
-    unreachable = DutyCaller(f"127.0.0.1:{free_port()}")
+        await duty_client.report_usage(8, {}, "front-2", 6)
+    unreachable = DutyClient(f"127.0.0.1:{free_port()}")
     await unreachable.start()
     with pytest.raises(DutyRefused):
         await unreachable.report_usage(7, {}, "front-1", 5)
