--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -307,7 +307,7 @@
 async def test_only_requests_that_may_be_sent_again_use_connections_that_rested(
     deployment, monkeypatch
 ):
-    monkeypatch.setattr("crankseam_platform.sampler.KEEP_ALIVE_S", 0.01)
+    monkeypatch.setattr("crankseam_platform.sampler.IDLE_TIMEOUT_S", 0.01)
     await deployment.configure()
     front = await deployment.start_front()
     for path, connections in (("/safe/x", 1), ("/once/x", 3)):
