--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -2,11 +2,11 @@
 
 import contextlib
 
-from crankseam_platform.control import SamplerOrders
+from crankseam_platform.control import HttpSamplerControl
 from crankseam_platform.duty_calls import DutyClient
-from crankseam_platform.generations import Generations
+from crankseam_platform.generations import HttpGenerationClient
 from crankseam_platform.sampler import SamplerClient
-from crankseam_platform.scoring_calls import ScoringCalls
+from crankseam_platform.scoring_calls import HttpScoringClient
 from crankseam_platform.store import PlatformStore
 
 from crankseam import clocks
@@ -57,13 +57,13 @@
         samplers = SamplerClient()
         await samplers.start()
         target = back_end(recorder)
-        orders = SamplerOrders(samplers)
+        orders = HttpSamplerControl(samplers)
         with contextlib.suppress(OrderUnanswered):
             await orders.report(target)
         for running in RunningRequests:
             await orders.order_version(target, VersionOrder("m", 3, running, "front-1", 5, 2))
         job = JobDefinition(id="job1", host="app.example", path="/job", items=[item()], tenant="t")
-        generations = Generations(samplers)
+        generations = HttpGenerationClient(samplers)
         for after in (0, 4):
             with contextlib.suppress(AttemptBroken):
                 async for _ in generations.generate(target, job, job.items[0], after, 2.0):
@@ -71,7 +71,7 @@
         scoring = ScoringRequest("score-1", "score.example", "/score?x=1", b"text")
         with contextlib.suppress(AttemptBroken):
             deadline = clocks.promised_s() + 5.0
-            await ScoringCalls(samplers).score(target, scoring, deadline)
+            await HttpScoringClient(samplers).score(target, scoring, deadline)
         await samplers.close()
     check("wire_samplers.json", recorder.requests)
 
