--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from crankseam.jobs.item_retry import DEFAULT_MAX_ATTEMPTS, DEFAULT_MAX_QUEUE_S
-from crankseam.jobs.item_run import ItemRun, RunParts, unscored_result
+from crankseam.jobs.item_run import ItemRun, RunComponents, unscored_result
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.scoring import ItemScorer
@@ -28,7 +28,7 @@
     scorer : requests the scores of the items' texts.
     """
 
-    def __init__(self, parts: RunParts, scorer: ItemScorer) -> None:
+    def __init__(self, parts: RunComponents, scorer: ItemScorer) -> None:
         self._parts = parts
         self._find_route = parts.find_route
         self._scorer = scorer
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True)
-class RunParts:
+class RunComponents:
     """Dependencies that all runs of a process share.
 
     Attributes
@@ -122,7 +122,7 @@
         job: JobDefinition,
         item: ItemDefinition,
         rank: tuple[float, ...],
-        parts: RunParts,
+        parts: RunComponents,
         kept: PartialText,
         is_long: bool = False,
     ) -> None:
--- a/src/crankseam/quarantine/parts.py
+++ b/src/crankseam/quarantine/parts.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class QuarantineParts:
+class QuarantineComponents:
     """The components of one process's quarantine."""
 
     table: SuspectTable
@@ -44,7 +44,7 @@
     supervisor: Supervisor,
     is_sweeper: Callable[[], bool] = lambda: True,
     is_followed: bool = True,
-) -> QuarantineParts:
+) -> QuarantineComponents:
     """Builds the quarantine of a process.
 
     Parameters
@@ -60,4 +60,4 @@
     table = SuspectTable()
     publisher = SuspectPublisher(suspects, table, broadcast, is_followed)
     quarantine = Quarantine(suspects, table, publisher, supervisor.once, is_sweeper)
-    return QuarantineParts(table, publisher, quarantine)
+    return QuarantineComponents(table, publisher, quarantine)
--- a/tests/jobs/factories.py
+++ b/tests/jobs/factories.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from crankseam.jobs.item_maker import ItemMaker
-from crankseam.jobs.item_run import ItemRun, RunParts
+from crankseam.jobs.item_run import ItemRun, RunComponents
 from crankseam.jobs.model import GeneratedEvent, ItemDefinition, JobDefinition, PartialText
 from crankseam.jobs.scoring import ItemScorer
 from crankseam.serving.back_ends import BackEndRecord, BackEndRegistry
@@ -110,13 +110,13 @@
     scorer = ItemScorer(
         dispatcher, scorers or ScriptedScorers(), lambda request: make_route(), splitter, guard
     )
-    return ItemMaker(RunParts(dispatcher, samplers, find_route, splitter, guard), scorer)
+    return ItemMaker(RunComponents(dispatcher, samplers, find_route, splitter, guard), scorer)
 
 
 def make_run(dispatcher, samplers, route=None, kept=None, job=None, guard=None):
     """A run of a job's first item."""
     job = job or make_job()
-    parts = RunParts(
+    parts = RunComponents(
         dispatcher,
         samplers,
         lambda job: route or make_route(),
