--- a/src/crankseam/coordination/presence.py
+++ b/src/crankseam/coordination/presence.py
@@ -25,7 +25,7 @@
 """Prefix, below the state prefix, of the keys of the live processes, one for each."""
 DEFAULT_CAPACITY = 1.0
 """Capacity of a machine that announces none; machines without capacities all rank equally."""
-ProcessAsker = Callable[[str, bytes, float], Awaitable[bytes]]
+ProcessRequester = Callable[[str, bytes, float], Awaitable[bytes]]
 """Sends bytes to the process of a given name and returns its answer.
 
 The last argument is the time limit in seconds. Raises KeyValueError if there is no such process or
--- a/src/crankseam/jobs/peer_reads.py
+++ b/src/crankseam/jobs/peer_reads.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from crankseam.coordination.presence import ProcessAsker
+from crankseam.coordination.presence import ProcessRequester
 from crankseam.errors import KeyValueError, KeyValueUnavailable
 from crankseam.jobs.errors import JobUnknown
 from crankseam.jobs.model import ItemDefinition, ItemResult
@@ -86,7 +86,7 @@
 class PeerReads:
     """Queries the owners of jobs, and answers such queries about this process's jobs."""
 
-    def __init__(self, ask: ProcessAsker) -> None:
+    def __init__(self, ask: ProcessRequester) -> None:
         self._ask_owner = ask
         self._jobs: OwnedJobs | None = None
 
--- a/src/crankseam/jobs/placement.py
+++ b/src/crankseam/jobs/placement.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from crankseam import clocks
-from crankseam.coordination.presence import ProcessAsker
+from crankseam.coordination.presence import ProcessRequester
 from crankseam.coordination.ranking import rank_by_capacity
 from crankseam.errors import KeyValueError, KeyValueUnavailable
 from crankseam.jobs.errors import AcceptanceUnknown, JobIdTaken
@@ -134,7 +134,7 @@
         jobs: JobAcceptor,
         process: str,
         processes: Callable[[], dict[str, float]],
-        ask: ProcessAsker,
+        ask: ProcessRequester,
         find_route: RouteFinder,
         is_overloaded: Callable[[], bool],
     ) -> None:
--- a/src/crankseam/usage/counter.py
+++ b/src/crankseam/usage/counter.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from crankseam.backoff import Backoff
-from crankseam.coordination.presence import ProcessAsker
+from crankseam.coordination.presence import ProcessRequester
 from crankseam.errors import KeyValueError
 from crankseam.usage.clock import TrueClock
 from crankseam.usage.messages import TenantCounts, UsageCounts, UsageReceipt
@@ -54,7 +54,7 @@
         clock: TrueClock,
         process: str,
         find_holder: Callable[[], tuple[str, int] | None],
-        ask: ProcessAsker,
+        ask: ProcessRequester,
     ) -> None:
         self._clock = clock
         self._find_holder = find_holder
