--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -52,7 +52,7 @@
 """Upper limit of this period."""
 
 
-class PeerAsker(Protocol):
+class PeerRequester(Protocol):
     """Sends a request to the address of a peer and returns its answer within a time limit."""
 
     async def __call__(self, address: str, body: bytes, timeout_s: float) -> bytes:
@@ -79,7 +79,7 @@
         store: WatchedStore,
         processes: Callable[[], list[Peer]],
         process: str,
-        ask: PeerAsker,
+        ask: PeerRequester,
         in_force_s: float,
         answered_at: Callable[[], float],
     ) -> None:
