--- a/src/crankseam/coordination/peer_http.py
+++ b/src/crankseam/coordination/peer_http.py
@@ -38,8 +38,8 @@
 BROADCAST_TIMEOUT_S = 1.0
 """Time limit for each peer in `PeerClient.broadcast`; a slower peer is left out."""
 BROADCAST_CONCURRENCY = 32
-"""Number of peers that `PeerClient.broadcast` calls concurrently. A slow CPU core opens only about a
-hundred connections per second."""
+"""Number of peers that `PeerClient.broadcast` calls concurrently. A slow CPU core opens only about
+a hundred connections per second."""
 
 CallHandler = Callable[[bytes], Awaitable[bytes]]
 
--- a/src/crankseam/coordination/watch_roles.py
+++ b/src/crankseam/coordination/watch_roles.py
@@ -23,8 +23,8 @@
 from dataclasses import dataclass
 
 PROCESSES_PER_FEED_SERVER = 40
-"""Maximum number of processes for each feed server. A reader has three requests pending at a time; the
-requests of this many readers use about 5 % of a slow CPU core."""
+"""Maximum number of processes for each feed server. A reader has three requests pending at a time;
+the requests of this many readers use about 5 % of a slow CPU core."""
 WATCHERS = 2
 """Number of watchers. Each change costs one call of each watcher; the second watcher is there for
 when the first is unavailable. One watcher for every 40 processes would mean five watchers with 165
@@ -52,8 +52,8 @@
 
     watchers : the processes that watch the store.
     feed_servers : the processes that answer readers: first the watchers, then the mirrors.
-    is_watcher, serves_readers : whether this process is a watcher, and a feed server. If no other process is eligible,
-        it has both roles and calls the store itself.
+    is_watcher, serves_readers : whether this process is a watcher, and whether it is a feed server.
+        If no other process is eligible, it has both roles and calls the store itself.
     """
 
     watchers: list[Peer]
@@ -85,7 +85,7 @@
 
 
 def feed_server_count(processes: int) -> int:
-    """Number of feed servers among a number of processes: the watchers, and mirrors where necessary.
+    """Number of feed servers among a number of processes: the watchers, and mirrors if necessary.
 
     Examples
     ========
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -53,8 +53,8 @@
 
     chunks : number of listed chunks.
     results : the listed results, by position.
-    former_owner_polled_at : time (`clocks.promised_s`) of the last poll for results that a former owner
-        listed; None if no listing of a former owner can take effect any more.
+    former_owner_polled_at : time (`clocks.promised_s`) of the last poll for results that a former
+        owner listed; None if no listing of a former owner can take effect any more.
     """
 
     def __init__(
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -173,8 +173,8 @@
     ==========
 
     assigned : samplers assigned to the model.
-    min_usable_version : oldest version that may serve the newest job; if None, only the newest version
-        may serve it.
+    min_usable_version : oldest version that may serve the newest job; if None, only the newest
+        version may serve it.
     late_target : number of assigned samplers that should have the newest version late in a step.
     now : monotonic seconds.
     """
--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -61,8 +61,8 @@
 
     process : name of this process.
     configuration : returns the newest configuration; None while none is known.
-    peak_open_items : returns the highest number of items of a model that were recently open at the same
-        time; None if unknown.
+    peak_open_items : returns the highest number of items of a model that were recently open at the
+        same time; None if unknown.
     """
 
     def __init__(
--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -40,7 +40,8 @@
     Attributes
     ==========
 
-    min_samplers, max_samplers : minimum and maximum number of samplers in a zone, of both kinds together.
+    min_samplers, max_samplers : minimum and maximum number of samplers in a zone, of both kinds
+        together.
     boot_s : seconds from an order until the sampler serves requests.
     spot_price : price of a spot sampler as a fraction of the price of a standing one; None if the
         service has no spot samplers.
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -67,8 +67,8 @@
     Attributes
     ==========
 
-    on_started : callbacks invoked once for each request that may have started to run, with its tenant
-        and the time, in seconds of `clocks.promised_s`, at which it was first sent.
+    on_started : callbacks invoked once for each request that may have started to run, with its
+        tenant and the time, in seconds of `clocks.promised_s`, at which it was first sent.
     """
 
     def __init__(
