--- a/tests/serving/test_cold_starts.py
+++ b/tests/serving/test_cold_starts.py
@@ -72,8 +72,8 @@
     "configured, limit", [(None, int(DEFAULT_COLD_PER_S)), (12.0, 12), (0.0, None), (0.5, 1)]
 )
 def test_the_operators_figure_counts_and_a_missing_one_is_assumed(configured, limit):
-    limits = ColdStartLimits("only", lambda service: ["only"], lambda service: configured)
-    assert limits.limit_per_s("b", "service") == limit
+    cold_limits = ColdStartLimits("only", lambda service: ["only"], lambda service: configured)
+    assert cold_limits.limit_per_s("b", "service") == limit
 
 
 async def test_items_and_moves_respect_the_limit_and_go_elsewhere():
