--- a/src/crankseam/jobs/listing_moments.py
+++ b/src/crankseam/jobs/listing_schedule.py
@@ -12,7 +12,7 @@
 UNGROUPED_LISTING_DELAY_S.
 Purpose: to keep the trainer's last read of a step short, with few writes to the store.
 Logged as: `results_listed`.
-Tested by: tests/jobs/test_listing_moments.py and test_runner.py.
+Tested by: tests/jobs/test_listing_schedule.py and test_runner.py.
 """
 
 from __future__ import annotations
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -17,7 +17,7 @@
 from crankseam.backoff import Backoff
 from crankseam.errors import KeyValueError, KeyValueUnavailable
 from crankseam.jobs.errors import ResultsConflict
-from crankseam.jobs.listing_moments import ListingSchedule
+from crankseam.jobs.listing_schedule import ListingSchedule
 from crankseam.jobs.model import ItemResult, JobDefinition
 from crankseam.jobs.repository import JobRepository, first_chunk
 
--- a/tests/jobs/test_listing_moments.py
+++ b/tests/jobs/test_listing_schedule.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from crankseam.jobs import listing_moments
-from crankseam.jobs.listing_moments import ListingSchedule
+from crankseam.jobs import listing_schedule
+from crankseam.jobs.listing_schedule import ListingSchedule
 from tests.jobs.factories import make_job
 
 LONG_S = 1000.0
@@ -31,8 +31,8 @@
 
 @pytest.fixture(autouse=True)
 def listing_delays(monkeypatch):
-    monkeypatch.setattr(listing_moments, "MAX_LISTING_DELAY_S", LONG_S)
-    monkeypatch.setattr(listing_moments, "GROUP_LISTING_DELAY_S", 0.01)
+    monkeypatch.setattr(listing_schedule, "MAX_LISTING_DELAY_S", LONG_S)
+    monkeypatch.setattr(listing_schedule, "GROUP_LISTING_DELAY_S", 0.01)
 
 
 async def test_a_group_by_which_no_step_ends_is_not_listed_by_itself():
@@ -68,14 +68,14 @@
 
 
 async def test_without_groups_each_result_is_listed_soon(monkeypatch):
-    monkeypatch.setattr(listing_moments, "UNGROUPED_LISTING_DELAY_S", 0.01)
+    monkeypatch.setattr(listing_schedule, "UNGROUPED_LISTING_DELAY_S", 0.01)
     schedule = ListingSchedule(job_of("", "", ""), set(), math.inf)
     schedule.finished("")
     assert await wait_returns(schedule)
 
 
 async def test_nothing_stays_unlisted_for_long(monkeypatch):
-    monkeypatch.setattr(listing_moments, "MAX_LISTING_DELAY_S", 0.05)
+    monkeypatch.setattr(listing_schedule, "MAX_LISTING_DELAY_S", 0.05)
     schedule = ListingSchedule(job_of("a", "b", desired=2), set(), math.inf)
     schedule.finished("a")
     assert await wait_returns(schedule)
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -27,7 +27,7 @@
 
 
 async def test_a_whole_group_is_listed_at_once_and_a_part_of_one_later(monkeypatch):
-    monkeypatch.setattr("crankseam.jobs.listing_moments.MAX_LISTING_DELAY_S", 1000.0)
+    monkeypatch.setattr("crankseam.jobs.listing_schedule.MAX_LISTING_DELAY_S", 1000.0)
     job = make_job(items=4)
     groups = ["g1", "g1", "g2", "g2"]
     items = [
