--- a/src/crankseam/coordination/relay.py
+++ b/src/crankseam/coordination/relay.py
@@ -3,7 +3,7 @@
 The store may refuse, throttle or disconnect single machines while it serves others. A process whose
 direct calls fail asks a peer to make them. A peer whose direct calls fail too refuses at once,
 without a call, so that an outage for all processes causes no additional calls to the store. The
-rules for the route of a call are in `crankseam.coordination.way_to_store`.
+rules for the route of a call are in `crankseam.coordination.store_route`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     Transaction,
 )
 from crankseam.coordination.relay_messages import RelayAnswer, RelayCall, perform, raise_error
-from crankseam.coordination.way_to_store import (
+from crankseam.coordination.store_route import (
     MAX_PEER_REFUSALS,
     DirectRoute,
     PeerSelector,
--- a/src/crankseam/coordination/way_to_store.py
+++ b/src/crankseam/coordination/store_route.py
@@ -11,7 +11,7 @@
 Purpose: a process that the store refuses while it serves others keeps its lease. When the
 store refused a third of the processes, the deployment served more work with this rule.
 Logged as: `store_through_peers`, `store_direct_again`.
-Tested by: tests/coordination/test_way_to_store.py, tests/coordination/test_relay.py and
+Tested by: tests/coordination/test_store_route.py, tests/coordination/test_relay.py and
 tests/coordination/test_frozen_peers.py.
 """
 
--- a/tests/coordination/test_relay.py
+++ b/tests/coordination/test_relay.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from crankseam.coordination import way_to_store
+from crankseam.coordination import store_route
 from crankseam.coordination.interface import (
     Condition,
     HistoryCompacted,
@@ -40,8 +40,8 @@
 
 @pytest.fixture
 def two_processes(monkeypatch):
-    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
-    monkeypatch.setattr(way_to_store, "PROBE_INTERVAL_S", 1000.0)
+    monkeypatch.setattr(store_route, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(store_route, "PROBE_INTERVAL_S", 1000.0)
     store = MemoryStore()
     clients = [FaultyStoreClient(store), FaultyStoreClient(store)]
     stores = {}
@@ -107,7 +107,7 @@
     own_client.error = KeyValueUnavailable("refused")
     await relayed.get("k")
     own_client.error = None
-    monkeypatch.setattr(way_to_store, "PROBE_INTERVAL_S", 0.0)
+    monkeypatch.setattr(store_route, "PROBE_INTERVAL_S", 0.0)
     await relayed.get("k")
     peer_calls_before = peers.calls
     await relayed.get("k")
@@ -140,9 +140,9 @@
 
 
 async def test_a_peer_that_is_refused_too_is_passed_over_at_once(monkeypatch):
-    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
-    monkeypatch.setattr(way_to_store, "PROBE_INTERVAL_S", 1000.0)
-    monkeypatch.setattr(way_to_store.random, "choice", lambda found: sorted(found)[0])
+    monkeypatch.setattr(store_route, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(store_route, "PROBE_INTERVAL_S", 1000.0)
+    monkeypatch.setattr(store_route.random, "choice", lambda found: sorted(found)[0])
     store = MemoryStore()
     clients = {name: FaultyStoreClient(store) for name in "abcd"}
     stores = {}
@@ -165,7 +165,7 @@
 
 
 async def test_where_all_are_refused_the_failure_is_told(monkeypatch):
-    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(store_route, "FAILING_AFTER_S", 0.0)
     store = MemoryStore()
     clients = {name: FaultyStoreClient(store) for name in "ab"}
     stores = {}
@@ -183,8 +183,8 @@
 
 async def test_a_peer_that_can_do_nothing_goes_before_one_that_is_silent(monkeypatch):
     """In an outage for all processes, a frozen peer must not be preferred to one that refuses."""
-    monkeypatch.setattr(way_to_store, "FAILING_AFTER_S", 0.0)
-    monkeypatch.setattr(way_to_store, "PROBE_INTERVAL_S", 1000.0)
+    monkeypatch.setattr(store_route, "FAILING_AFTER_S", 0.0)
+    monkeypatch.setattr(store_route, "PROBE_INTERVAL_S", 1000.0)
     own_client = FaultyStoreClient(MemoryStore())
     own_client.error = KeyValueUnavailable("refused")
     asked = []
@@ -204,5 +204,5 @@
         if silent_peer_seen:
             assert [address for address, _ in asked] == ["refused"]
         silent_peer_seen = silent_peer_seen or ("silent" in [address for address, _ in asked])
-        assert max(timeout_s for _, timeout_s in asked) <= 0.7 + way_to_store.WATCH_SLACK_S
+        assert max(timeout_s for _, timeout_s in asked) <= 0.7 + store_route.WATCH_SLACK_S
     assert silent_peer_seen
--- a/tests/coordination/test_way_to_store.py
+++ b/tests/coordination/test_store_route.py
@@ -1,7 +1,7 @@
 import pytest
 
 from crankseam.coordination.relay_messages import RelayAnswer, RelayCall
-from crankseam.coordination.way_to_store import (
+from crankseam.coordination.store_route import (
     CALL_SLACK_S,
     FAILING_AFTER_S,
     PROBE_INTERVAL_S,
