--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -42,6 +42,6 @@
     registry.evacuate("z1")
     assert [one.record.id for one in registry.of_service("s")] == ["b"]
     assert not registry.is_current(evacuated) and registry.is_not_leaving(evacuated)
-    assert len(registry.not_leaving("s")) == 2, "it counts as supply and carries its models"
+    assert len(registry.not_leaving("s")) == 2, "it counts as supply and has its models"
     registry.revoke_evacuation("z1")
     assert registry.is_current(evacuated)
