--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -34,7 +34,7 @@
     TransactionConflict,
 )
 from crankseam.coordination.process_lease import ProcessLease
-from crankseam.coordination.ranking import rank_processes, turn_delay_s
+from crankseam.coordination.ranking import attempt_delay_s, rank_processes
 from crankseam.errors import CrankseamError, KeyValueError
 
 log = logging.getLogger(__name__)
@@ -153,7 +153,7 @@
 
     # --- eligibility to acquire
 
-    def may_try(self) -> bool:
+    def may_acquire(self) -> bool:
         """Whether this process may try to acquire the duty now."""
         if not self._lease.is_held():
             return False
@@ -188,43 +188,43 @@
             return None
         if entry.revision != self._held_revision:
             # The transaction that acquired the duty was committed, but its answer was lost.
-            self._won(entry.revision, self._handover_pause_s)
+            self._record_acquisition(entry.revision, self._handover_pause_s)
         return entry.revision if self._clock() >= self._may_act_at else None
 
-    def _won(self, revision: int, pause_s: float) -> None:
+    def _record_acquisition(self, revision: int, pause_s: float) -> None:
         self._held_revision = revision
         self._may_act_at = self._clock() + pause_s
         log.info("duty_won", extra={"duty": self.name, "fence": revision, "pause": pause_s})
 
     # --- acquisition
 
-    async def take_turn(self) -> int | None:
+    async def acquire_if_vacant(self) -> int | None:
         """Try to acquire the duty if it is vacant; return the fencing token as `fence` does.
 
         Must be called often, because it also records the start of a vacancy (see `is_vacant`).
         """
         self.is_vacant()
-        if self.may_try():
-            await asyncio.sleep(self._turn_delay_s())
+        if self.may_acquire():
+            await asyncio.sleep(self._attempt_delay_s())
             await self.try_acquire()
         return self.fence()
 
-    def _turn_delay_s(self) -> float:
+    def _attempt_delay_s(self) -> float:
         """Seconds to wait so that the processes that rank before this one can try first."""
         if self._processes is None or self._own_entry() is not None:
             return 0.0
-        return turn_delay_s(rank_processes(self.name, self._processes()), self._process)
+        return attempt_delay_s(rank_processes(self.name, self._processes()), self._process)
 
     async def try_acquire(self) -> None:
         """Try once to acquire the duty."""
-        if not self.may_try():
+        if not self.may_acquire():
             return
         try:
             lease = await self._lease.ensure()
         except KeyValueError as error:
             log.warning("duty_not_won", extra={"duty": self.name, "error": type(error).__name__})
             return
-        if not self.may_try():
+        if not self.may_acquire():
             return
         current, last = self._current_entry(), self._state.entries.get(self._last_holder_key)
         conditions = [
@@ -242,9 +242,11 @@
             log.warning("duty_not_won", extra={"duty": self.name, "error": type(error).__name__})
             return
         is_handover = last is not None and last.value != name
-        self._won(revision, self._remaining_pause() if is_handover else 0.0)
+        self._record_acquisition(
+            revision, self._remaining_handover_pause_s() if is_handover else 0.0
+        )
 
-    def _remaining_pause(self) -> float:
+    def _remaining_handover_pause_s(self) -> float:
         """Seconds left of the handover pause.
 
         The pause counts from the start of the vacancy, because the former holder did not act after
--- a/src/crankseam/coordination/relay.py
+++ b/src/crankseam/coordination/relay.py
@@ -3,7 +3,7 @@
 The store may refuse, throttle or disconnect single machines while it serves others. A process whose
 direct calls fail asks a peer to make them. A peer whose direct calls fail too refuses at once,
 without a call, so that an outage for all processes causes no additional calls to the store. The
-rules for the route of a call are in `crankseam.coordination.way_to_store`.
+rules for the route of a call are in `crankseam.coordination.store_route`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     Transaction,
 )
 from crankseam.coordination.relay_messages import RelayAnswer, RelayCall, perform, raise_error
-from crankseam.coordination.way_to_store import (
+from crankseam.coordination.store_route import (
     MAX_PEER_REFUSALS,
     DirectRoute,
     PeerSelector,
@@ -80,7 +80,7 @@
         self._selector = PeerSelector()
         self._uses_peers = False
         """Whether a peer has made a call since the direct route last worked; logged once."""
-        self.on_direct_again: list[Callable[[], None]] = []
+        self.on_direct_restored: list[Callable[[], None]] = []
         """Called when the direct route works again, to end waits for peers and delays."""
 
     @property
@@ -127,7 +127,7 @@
         if self._uses_peers:
             log.info("store_direct_again")
         self._uses_peers = False
-        for notify in self.on_direct_again:
+        for notify in self.on_direct_restored:
             # Deferred until the successful call has returned, because it may be a watch that the
             # callback cancels and requests again.
             asyncio.get_running_loop().call_soon(notify)
--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -15,7 +15,7 @@
 from crankseam import clocks
 from crankseam.coordination.follower import PrefixFollower
 from crankseam.coordination.interface import Entry
-from crankseam.coordination.presence import living_capacities
+from crankseam.coordination.presence import live_capacities
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.errors import KeyValueError
 from crankseam.jobs.demand import ModelDemand, decode_open_job
@@ -164,7 +164,7 @@
 
     def _claim_delay_s(self, job_id: str) -> float:
         return claim_delay_s(
-            self._ranking_subject(job_id), living_capacities(self._state), self._process_name
+            self._ranking_subject(job_id), live_capacities(self._state), self._process_name
         )
 
     def _ranking_subject(self, job_id: str) -> str:
@@ -203,7 +203,7 @@
         Reads the results that other processes may have listed in the meantime. Returns True, as
         _claim does once nothing is left to try.
         """
-        await self.take_listed(job_id)
+        await self.read_new_chunks(job_id)
         if job_id not in self._running.runners:
             return True
         self._running.record_ownership(job_id, lease)
@@ -212,7 +212,7 @@
 
     # --- results listed by other processes
 
-    async def take_listed(self, job_id: str) -> None:
+    async def read_new_chunks(self, job_id: str) -> None:
         """Read the results that other processes have listed of a job that runs here."""
         runner = self._running.runners.get(job_id)
         if runner is None:
@@ -234,8 +234,8 @@
         if runner is None:
             return
         listing = runner.listing
-        listing.checked_at = clocks.promised_s()
-        end = listing.checked_at + FORMER_OWNER_POLL_DURATION_S
+        listing.former_owner_polled_at = clocks.promised_s()
+        end = listing.former_owner_polled_at + FORMER_OWNER_POLL_DURATION_S
         while (
             clocks.promised_s() < end
             and self._running.runners.get(job_id) is runner
@@ -244,10 +244,10 @@
             await asyncio.sleep(FORMER_OWNER_POLL_INTERVAL_S)
             asked_at = clocks.promised_s()
             try:
-                await self.take_listed(job_id)
-                listing.checked_at = asked_at
+                await self.read_new_chunks(job_id)
+                listing.former_owner_polled_at = asked_at
             except KeyValueError as error:
                 log.warning(
                     "results_not_read", extra={"job": job_id, "error": type(error).__name__}
                 )
-        listing.checked_at = None
+        listing.former_owner_polled_at = None
--- a/src/crankseam/jobs/dispatcher.py
+++ b/src/crankseam/jobs/dispatcher.py
@@ -15,7 +15,7 @@
 
 from crankseam.jobs.migration import max_pace_s
 from crankseam.jobs.migration_requests import MigrationRequest, MigrationRequests
-from crankseam.jobs.places import AssignmentRound, MemoryFinder, PlaceNeed, PlaceRequest
+from crankseam.jobs.places import AssignmentRound, MemoryLookup, PlaceNeed, PlaceRequest
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.paces import SamplerPaces
 
@@ -38,7 +38,7 @@
         registry: BackEndRegistry,
         zone: str,
         paces: SamplerPaces | None = None,
-        memory_of: MemoryFinder = lambda service: None,
+        memory_of: MemoryLookup = lambda service: None,
     ) -> None:
         self._memory_of = memory_of
         self._registry = registry
@@ -93,7 +93,7 @@
             request = heapq.heappop(self._waiting)
             if request.place.done():
                 continue
-            back_end = round_.take(request)
+            back_end = round_.assign(request)
             if back_end is None:
                 unplaced.append(request)
                 continue
@@ -103,7 +103,7 @@
             request.place.set_result(back_end)
         self._waiting = unplaced
 
-    def knows(self, back_end_id: str) -> bool:
+    def is_registered(self, back_end_id: str) -> bool:
         """Whether discovery lists a back end with this id."""
         return self._registry.by_id(back_end_id) is not None
 
--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from crankseam.jobs.item_retry import DEFAULT_MAX_ATTEMPTS, DEFAULT_MAX_QUEUE_S
-from crankseam.jobs.item_run import ItemRun, RunParts, unscored_result
+from crankseam.jobs.item_run import ItemRun, RunComponents, unscored_result
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
 from crankseam.jobs.scoring import ItemScorer
@@ -28,16 +28,16 @@
     scorer : requests the scores of the items' texts.
     """
 
-    def __init__(self, parts: RunParts, scorer: ItemScorer) -> None:
+    def __init__(self, parts: RunComponents, scorer: ItemScorer) -> None:
         self._parts = parts
         self._find_route = parts.find_route
         self._scorer = scorer
         self.item_seconds = ItemSeconds()
 
-    def longest_queue_s(self, job: JobDefinition) -> float:
+    def max_queue_s(self, job: JobDefinition) -> float:
         """The `max_queue` of the job's route: seconds after which an item may be given up."""
         route = self._find_route(job)
-        return route.longest_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
+        return route.max_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
 
     def due_s(self, job: JobDefinition) -> float:
         """Seconds after its submission at which a job's results are due; infinite if never."""
--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -40,7 +40,7 @@
 from crankseam.jobs.send_outcome import record_send_outcome
 from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.holding import DEFAULT_MOST_ENDS_OF_ITEM
+from crankseam.quarantine.holding import DEFAULT_ITEM_CRASH_LIMIT
 from crankseam.quarantine.model import TrialSubject
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.engine_memory import RunSize
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True)
-class RunParts:
+class RunComponents:
     """Dependencies that all runs of a process share.
 
     Attributes
@@ -122,7 +122,7 @@
         job: JobDefinition,
         item: ItemDefinition,
         rank: tuple[float, ...],
-        parts: RunParts,
+        parts: RunComponents,
         kept: PartialText,
         is_long: bool = False,
     ) -> None:
@@ -134,7 +134,7 @@
         self._places = RoutedPlaces(parts.dispatcher, parts.splitter)
         self._client = parts.client
         self._guard = parts.guard
-        self._trial = parts.guard.begin(_subject(job, item), DEFAULT_MOST_ENDS_OF_ITEM)
+        self._trial = parts.guard.begin(_subject(job, item), DEFAULT_ITEM_CRASH_LIMIT)
         self.kept = kept
         self._is_expected_long = is_long
         self._created_at = time.monotonic()
@@ -236,13 +236,13 @@
             with self._trial.sending() as send:
                 await record_send_outcome(self._guard, send, back_end, self._generate(back_end))
         except AttemptNotRun as refusal:
-            pause_s = rejected_backoff_s(refusal.had_room)
-            back_end.was_full(pause_s)
+            pause_s = rejected_backoff_s(refusal.had_free_slots)
+            back_end.record_rejection(pause_s)
             self._migration_timer.rejected(time.monotonic())
             self._log("item_turned_away", back_end, f"{refusal.reason}, avoided {pause_s} s")
             return None
         except AttemptBroken as failure:
-            back_end.failed()
+            back_end.record_failure()
             self._avoided = back_end.record.id
             self._log("item_broken", back_end, failure.reason)
             self._trial.report_if_held()
@@ -260,7 +260,7 @@
         except ItemImpossible:
             self._log("item_impossible", back_end, "never")
             return self._incomplete_result()
-        back_end.succeeded()
+        back_end.record_success()
         self._log("item_done", back_end, "whole")
         self.kept.whole = True
         return unscored_result(self.item, self.kept)
@@ -303,14 +303,14 @@
                 if last_event_at is None:
                     warm_at = now + WARM_UP_S
                 elif now >= warm_at:
-                    self._dispatcher.paces.seen(back_end, now - last_event_at)
+                    self._dispatcher.paces.record_interval(back_end, now - last_event_at)
                 last_event_at = now
-                self._take(event)
+                self._append_event(event)
                 back_end.runs[self.item.id] = self._run_size()
                 if now >= warm_at:
                     self._migrate_if_slow(back_end)
 
-    def _take(self, event: GeneratedEvent) -> None:
+    def _append_event(self, event: GeneratedEvent) -> None:
         if event.number != len(self.kept.events) + 1:
             raise AttemptBroken(f"event {event.number} after {len(self.kept.events)}")
         if event.version and event.version < self.job.min_version:
@@ -319,7 +319,7 @@
         if self._single_version and self.kept.versions and event.version not in self.kept.versions:
             self.kept.clear()
             raise AttemptBroken("made by two versions")
-        self.kept.take(event)
+        self.kept.append(event)
         self._trial.progressed()
 
     def _migrate_if_slow(self, back_end: BackEnd) -> None:
--- a/src/crankseam/jobs/places.py
+++ b/src/crankseam/jobs/places.py
@@ -26,7 +26,7 @@
 from typing import NamedTuple
 
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
-from crankseam.serving.engine_memory import NOTHING, EngineMemory, RunSize
+from crankseam.serving.engine_memory import EMPTY_RUN, EngineMemory, RunSize
 from crankseam.serving.paces import SamplerPaces
 
 DEFAULT_SLOTS = 8
@@ -79,7 +79,7 @@
     is_long: bool = False
     slots_share: float = 1.0
     item: str = ""
-    size: RunSize = NOTHING
+    size: RunSize = EMPTY_RUN
 
 
 @dataclass(order=True, slots=True)
@@ -144,7 +144,7 @@
     size_bucket: int
 
 
-MemoryFinder = Callable[[str], EngineMemory | None]
+MemoryLookup = Callable[[str], EngineMemory | None]
 """Returns the memory of each sampler of a service; None if unknown."""
 SIZE_BUCKET_EVENTS = 16
 """Runs are grouped by their number of events into buckets of this width, and those of one bucket
@@ -262,7 +262,7 @@
         registry: BackEndRegistry,
         paces: SamplerPaces,
         zone: str,
-        memory_of: MemoryFinder = lambda service: None,
+        memory_of: MemoryLookup = lambda service: None,
     ) -> None:
         self._memory_of = memory_of
         self._registry = registry
@@ -272,7 +272,7 @@
         self._queues: dict[_ItemKind, _Queue] = {}
         self._slow_ids: dict[str, set[str]] = {}
 
-    def take(self, request: PlaceRequest) -> BackEnd | None:
+    def assign(self, request: PlaceRequest) -> BackEnd | None:
         """The sampler for a request; None if no suitable one has room."""
         need = request.need
         kind = _ItemKind(
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -32,7 +32,7 @@
 from crankseam.jobs.send_outcome import record_send_outcome
 from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.holding import DEFAULT_MOST_ENDS
+from crankseam.quarantine.holding import DEFAULT_CRASH_LIMIT
 from crankseam.quarantine.model import TrialSubject
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
@@ -142,7 +142,7 @@
     ) -> None:
         self._client = client
         self._guard = guard
-        self.trial = guard.begin(_subject(request), DEFAULT_MOST_ENDS)
+        self.trial = guard.begin(_subject(request), DEFAULT_CRASH_LIMIT)
         self._job = job
         self._item = item
         self._request = request
@@ -165,26 +165,26 @@
                     call = self._client.score(back_end, self._request, deadline)
                     score = await record_send_outcome(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
-            back_end.was_full(SCORING_REJECTED_BACKOFF_S)
+            back_end.record_rejection(SCORING_REJECTED_BACKOFF_S)
             if refusal.wrong_instance:
-                back_end.failed()
+                back_end.record_failure()
             self._log("scoring_turned_away", back_end, refusal.reason)
             return None
         except AttemptBroken as failure:
-            back_end.failed()
+            back_end.record_failure()
             self._log("scoring_broken", back_end, failure.reason)
             self.trial.report_if_held()
             return None
         except TimeoutError:
             self._timeouts += 1
-            back_end.failed()
+            back_end.record_failure()
             self._log("scoring_broken", back_end, "no answer in time")
             return None
         except ScoringFailed:
             self._failures += 1
             self._log("scoring_failed", back_end, f"failure {self._failures}")
             return None
-        back_end.succeeded()
+        back_end.record_success()
         self._log("scoring_done", back_end, score)
         return score
 
--- a/src/crankseam/jobs/service.py
+++ b/src/crankseam/jobs/service.py
@@ -9,7 +9,7 @@
 
 import logging
 
-from crankseam.coordination.follower import WATCH_S, PrefixFollower
+from crankseam.coordination.follower import DEFAULT_WATCH_WAIT_S, PrefixFollower
 from crankseam.coordination.interface import CoordinationStore, Entry, WatchedStore
 from crankseam.coordination.process_lease import ProcessLease
 from crankseam.jobs.acceptance import JobAcceptance
@@ -53,7 +53,7 @@
         maker: ItemMaker,
         find_route: RouteFinder,
         supervisor: Supervisor,
-        watch_wait_s: float = WATCH_S,
+        watch_wait_s: float = DEFAULT_WATCH_WAIT_S,
         watched_store: WatchedStore | None = None,
         owner_client: OwnerClient | None = None,
     ) -> None:
@@ -70,7 +70,7 @@
             self._make_runner, self.lease, self._reader, self._earlier_outputs, supervisor
         )
         self.pace_sharing = PaceSharing(
-            store, self.lease, process, dispatcher.paces, dispatcher.knows
+            store, self.lease, process, dispatcher.paces, dispatcher.is_registered
         )
         self.state = PrefixFollower(
             watched_store or store, STATE_PREFIX, self._state_changed, watch_wait_s
@@ -132,7 +132,7 @@
         return len(self.running.runners)
 
     def has_room(self, items: int) -> bool:
-        """See SubmissionTaker."""
+        """See JobAcceptor."""
         unlisted = sum(runner.unlisted_count() for runner in self.running.runners.values())
         return self.claims.active and has_room(unlisted, items)
 
--- a/src/crankseam/jobs/urgency.py
+++ b/src/crankseam/jobs/urgency.py
@@ -34,14 +34,14 @@
 NEW_ITEM_SLOTS_SHARE = 0.84
 """Share of a sampler's slots that items may fill that have not started and are not long. The
 remaining slots are reserved for interrupted runs and long items, which a step waits for and which
-would otherwise queue behind short ones. In eight simulated days with faults, this raised the metric
-`worth` from 0.763 to 0.790 and cut the mean step time from 7.36 to 7.15 s (docs/DECISIONS.md)."""
+would otherwise queue behind short ones. In eight simulated days with faults, this cut the mean step
+time from 7.36 to 7.15 s (docs/DECISIONS.md)."""
 SCORING_SLOTS_SHARE = 0.5
 """Share of a back end's slots that scoring requests may fill. Callers' requests use the same back
 ends, and find the other half free even if many items finish at the same time."""
 
 
-def rank_of(
+def item_rank(
     job: JobDefinition, started_at: float, item: ItemDefinition, index: int
 ) -> tuple[float, ...]:
     """Sort key of an item among all waiting items of this process; the smallest is served first.
@@ -56,7 +56,7 @@
     return (float(job.priority), start_span, -float(item.length_hint), float(index))
 
 
-def long_hint(job: JobDefinition) -> float:
+def long_hint_threshold(job: JobDefinition) -> float:
     """Length hint, in tokens, above which an item of a job is expected to be long.
 
     Infinite if no item of the job has a hint.
--- a/src/crankseam/orders/version_coordinator.py
+++ b/src/crankseam/orders/version_coordinator.py
@@ -107,7 +107,7 @@
         """Loads in progress by sampler id."""
         self.active = True
 
-    def version_named(self, model: str, version: int) -> None:
+    def version_announced(self, model: str, version: int) -> None:
         """Take note of a version that a trainer has announced; an older one is ignored."""
         previous = self._newest.get(model)
         if version <= (previous.version if previous is not None else 0):
@@ -137,14 +137,14 @@
         If loads are due and this process may try to acquire the duty, try that instead.
         """
         self._duty.is_vacant()
-        may_try = self._duty.may_try()
-        if not may_try and self._duty.fence() is None:
+        may_acquire = self._duty.may_acquire()
+        if not may_acquire and self._duty.fence() is None:
             return
         assigned = self._assignment()
         due_loads = self._due_loads(assigned)
         if not due_loads:
             return
-        if may_try:
+        if may_acquire:
             await asyncio.sleep(random.uniform(0.0, ACQUIRE_JITTER_S))
             await self._duty.try_acquire()
             return
@@ -175,11 +175,11 @@
     def _find_due(self, model: str, back_ends: list[BackEnd]) -> list[BackEnd]:
         now = time.monotonic()
         announced = self._newest[model]
-        needed = self._demand.needed_version(model)
+        needed = self._demand.min_usable_version(model)
         late_target = 0
         if back_ends and announced.is_late_in_step(now):
             service = back_ends[0].record.service
-            late_target = free_load_count(self._registry.staying_of(service))
+            late_target = free_load_count(self._registry.not_leaving(service))
         return due_samplers(
             back_ends,
             model,
@@ -194,7 +194,7 @@
         self, due_loads: list[Load], assigned: dict[str, list[BackEnd]]
     ) -> list[Load]:
         samplers = {
-            service: len(self._registry.staying_of(service))
+            service: len(self._registry.not_leaving(service))
             for service in {load.service for load in due_loads}
         }
         assigned_counts = {model: len(back_ends) for model, back_ends in assigned.items()}
--- a/src/crankseam/scaling/actor.py
+++ b/src/crankseam/scaling/actor.py
@@ -25,7 +25,7 @@
     Kind,
     Order,
     OrderConflict,
-    SamplerMarket,
+    SamplerProvisioner,
     ScalingBounds,
     ZoneSupply,
 )
@@ -51,7 +51,7 @@
     kind: Kind
 
 
-class SamplerScaling:
+class SamplerAutoscaler:
     """Orders the samplers that each service needs.
 
     Runs in every process; only the holder of the duty gives orders.
@@ -61,8 +61,8 @@
 
     process : name of this process.
     configuration : returns the newest configuration; None while none is known.
-    items_of : returns the highest number of items of a model that were recently open at the same
-        time; None if unknown.
+    peak_open_items : returns the highest number of items of a model that were recently open at the
+        same time; None if unknown.
     """
 
     def __init__(
@@ -70,18 +70,18 @@
         store: CoordinationStore,
         duty: Duty,
         registry: BackEndRegistry,
-        market: SamplerMarket,
+        provisioner: SamplerProvisioner,
         process: str,
         configuration: Callable[[], Configuration | None],
-        items_of: Callable[[str], int | None],
+        peak_open_items: Callable[[str], int | None],
     ) -> None:
         self._store = store
         self._duty = duty
         self._registry = registry
-        self._market = market
+        self._provisioner = provisioner
         self._process = process
         self._configuration = configuration
-        self._items_of = items_of
+        self._peak_open_items = peak_open_items
         self._fence: int | None = None
         """Fencing token under which `_ordered_counts` were ordered."""
         self._ordered_counts: dict[_OrderTarget, OrderedCount] = defaultdict(OrderedCount)
@@ -100,7 +100,7 @@
         scaled = self._scaled_services()
         if not scaled:
             return
-        fence = await self._duty.take_turn()
+        fence = await self._duty.acquire_if_vacant()
         if fence is None:
             return
         if fence != self._fence:
@@ -120,12 +120,12 @@
         }
 
     async def _scale_service(self, service: str, bounds: ScalingBounds, fence: int) -> None:
-        back_ends = self._registry.staying_of(service)
+        back_ends = self._registry.not_leaving(service)
         supply = self._supply_of(service, back_ends, bounds)
         now = time.monotonic()
         if not back_ends or not self._supply.is_settled(now):
             return
-        need = self._stabilized_need(service, back_ends, bounds.largest * len(supply))
+        need = self._stabilized_need(service, back_ends, bounds.max_samplers * len(supply))
         exhausted = {
             zone for zone in supply if self._exhausted_zones.is_exhausted(service, zone, now)
         }
@@ -155,7 +155,7 @@
     def _current_need(self, back_ends: Iterable[BackEnd]) -> int | None:
         models = {model for back_end in back_ends for model in back_end.record.versions}
         slots = max((back_end.record.slots for back_end in back_ends), default=1)
-        return required_samplers([self._items_of(model) for model in models], slots)
+        return required_samplers([self._peak_open_items(model) for model in models], slots)
 
     def _is_due(self, order: Order, supply: ZoneSupply, bounds: ScalingBounds, now: float) -> bool:
         present = supply.spot if order.kind is Kind.SPOT else supply.standing
@@ -171,7 +171,7 @@
         ordered = self._ordered_count(order)
         outcome = "taken"
         try:
-            await self._market.order_samplers(order, self._process, fence)
+            await self._provisioner.order_samplers(order, self._process, fence)
             ordered.taken(order.count, time.monotonic())
         except OrderConflict:
             outcome = await self._resolve_conflict(order, fence)
@@ -203,9 +203,9 @@
             entry = await self._store.get(self._duty.holder_key)
         except KeyValueError as error:
             # The error is logged in the outcome of the order; the order is given again.
-            return f"refused; reading the duty holder failed ({type(error).__name__})"
+            return f"refused, and the store did not say why ({type(error).__name__})"
         if entry is None or entry.revision != fence:
             self._duty.refuse(fence)
             return "fenced"
         self._exhausted_zones.mark_exhausted(order.service, order.zone, time.monotonic())
-        return "zone exhausted"
+        return "none to be had"
--- a/src/crankseam/scaling/model.py
+++ b/src/crankseam/scaling/model.py
@@ -1,6 +1,6 @@
 """Data types of sampler scaling: the operator's limits, the present samplers, and orders.
 
-Independent of any wire format: an adapter implements `SamplerMarket` with the calls of its
+Independent of any wire format: an adapter implements `SamplerProvisioner` with the calls of its
 platform.
 """
 
@@ -40,15 +40,16 @@
     Attributes
     ==========
 
-    smallest, largest : minimum and maximum number of samplers in a zone, of both kinds together.
+    min_samplers, max_samplers : minimum and maximum number of samplers in a zone, of both kinds
+        together.
     boot_s : seconds from an order until the sampler serves requests.
     spot_price : price of a spot sampler as a fraction of the price of a standing one; None if the
         service has no spot samplers.
     zone_prices : price of a standing sampler per second, by zone.
     """
 
-    smallest: int
-    largest: int
+    min_samplers: int
+    max_samplers: int
     boot_s: float = DEFAULT_BOOT_S
     spot_price: float | None = None
     zone_prices: dict[str, float] = field(default_factory=dict)
@@ -73,7 +74,7 @@
     reason: str
 
 
-class SamplerMarket(Protocol):
+class SamplerProvisioner(Protocol):
     """Interface of the platform that provides samplers."""
 
     async def order_samplers(self, order: Order, holder: str, fence: int) -> None:
--- a/src/crankseam/serving/back_ends.py
+++ b/src/crankseam/serving/back_ends.py
@@ -120,13 +120,13 @@
         """
         return max(self.record.versions.get(model, 0), self.observed_versions.get(model, 0))
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a valid answer: the back end is no longer avoided."""
         self.has_ended = False
         self.failures = 0
         self.avoid_until = float("-inf")
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record a failed attempt, and avoid the back end for some time.
 
         Attempts that fail together, for example when the back end resets all its connections, count
@@ -138,12 +138,12 @@
         pause_s = min(AVOID_CAP_S, AVOID_BASE_S * 2.0 ** (self.failures - 1))
         self.avoid_until = max(self.avoid_until, time.monotonic() + pause_s)
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Record that the back end ended unannounced; discovery still lists it for some time."""
         self.has_ended = True
         self.avoid_until = max(self.avoid_until, time.monotonic() + ENDED_AVOID_S)
 
-    def was_full(self, pause_s: float = REJECTED_AVOID_S) -> None:
+    def record_rejection(self, pause_s: float = REJECTED_AVOID_S) -> None:
         """Record that the back end rejected a request without running it; avoid it briefly."""
         self.avoid_until = max(self.avoid_until, time.monotonic() + pause_s)
 
@@ -162,7 +162,7 @@
         self._by_service: dict[str, dict[str, BackEnd]] = {}
         self._evacuated_zones: set[str] = set()
         self.on_change: list[Callable[[], None]] = []
-        self.cold_share: Callable[[str, str], int | None] = lambda _id, _service: int(
+        self.cold_limit: Callable[[str, str], int | None] = lambda _id, _service: int(
             DEFAULT_COLD_PER_S
         )
         """Returns how many requests this process may send to a cold back end within any second, by
@@ -206,7 +206,7 @@
         """Whether this process may send a request now; the rate is limited for cold back ends."""
         if not back_end.cold.is_cold(now):
             return True
-        limit_per_s = self.cold_share(back_end.record.id, back_end.record.service)
+        limit_per_s = self.cold_limit(back_end.record.id, back_end.record.service)
         return back_end.cold.has_room(limit_per_s, now)
 
     def remove(self, back_end_id: str) -> None:
@@ -227,7 +227,7 @@
             log.info("zone_evacuated", extra={"zone": zone})
             self._notify_change()
 
-    def take_back(self, zone: str) -> None:
+    def revoke_evacuation(self, zone: str) -> None:
         """Revoke the evacuation of a zone, as ordered by the operator."""
         if zone in self._evacuated_zones:
             self._evacuated_zones.remove(zone)
@@ -257,7 +257,7 @@
         """Whether this incarnation is still in discovery, even if it is leaving."""
         return self._by_id.get(back_end.record.id) is back_end
 
-    def carrying(self, model: str) -> list[BackEnd]:
+    def with_model(self, model: str) -> list[BackEnd]:
         """Return all back ends that have loaded a model and are not leaving."""
         return [
             back_end
@@ -268,14 +268,14 @@
     def of_service(self, service: str) -> list[BackEnd]:
         """Return the back ends of a service that accept new work."""
         return [
-            back_end for back_end in self.staying_of(service) if self._accepts_new_work(back_end)
+            back_end for back_end in self.not_leaving(service) if self._accepts_new_work(back_end)
         ]
 
-    def staying_of(self, service: str) -> list[BackEnd]:
+    def not_leaving(self, service: str) -> list[BackEnd]:
         """Return the back ends of a service that are not leaving, including evacuated zones."""
         known = self._by_service.get(service, {}).values()
         return [back_end for back_end in known if not back_end.record.leaving]
 
-    def is_staying(self, back_end: BackEnd) -> bool:
+    def is_not_leaving(self, back_end: BackEnd) -> bool:
         """Whether a back end is known and not leaving; its zone may be evacuated."""
         return self.is_known(back_end) and not back_end.record.leaving
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -17,7 +17,7 @@
 
 from crankseam import clocks
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.holding import default_most_ends
+from crankseam.quarantine.holding import default_crash_limit
 from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.trial import Send, Trial
 from crankseam.serving import retry
@@ -67,8 +67,8 @@
     Attributes
     ==========
 
-    on_begun : callbacks invoked once for each request that may have started to run, with its tenant
-        and the time, in seconds of `clocks.promised_s`, at which it was first sent.
+    on_started : callbacks invoked once for each request that may have started to run, with its
+        tenant and the time, in seconds of `clocks.promised_s`, at which it was first sent.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         guard: CrashGuard,
         zone: str,
     ) -> None:
-        self.on_begun: list[Callable[[str, float], None]] = []
+        self.on_started: list[Callable[[str, float], None]] = []
         self._registry = registry
         self._client = client
         self._guard = guard
@@ -95,7 +95,7 @@
         """
         service = self._splitter.pick(route)
         give_up_at = retry.give_up_time(request, route)
-        trial = self._guard.begin(trial_subject(request, route), default_most_ends(route.kind))
+        trial = self._guard.begin(trial_subject(request, route), default_crash_limit(route.kind))
         await trial.admit()
         forwarding = _Forwarding(request, route, service, give_up_at, trial)
         history = forwarding.history
@@ -111,13 +111,13 @@
             if not isinstance(answer, StreamingAnswer):
                 trial.close()
             if history.began_at is not None:
-                for notify in self.on_begun:
+                for notify in self.on_started:
                     notify(request.tenant, history.began_at)
         if answer is None:
             answer = history.last_failure
         _log_outcome(forwarding, answer)
         if answer is None:
-            raise retry.problem_when_given_up(history)
+            raise retry.give_up_problem(history)
         return answer
 
     async def _attempt_until_answered(
@@ -210,7 +210,7 @@
             return None
         except AttemptBroken as failure:
             history.record_broken(back_end.record.id, failure.reason)
-            back_end.failed()
+            back_end.record_failure()
             return None
         finally:
             back_end.release_slot()
@@ -237,23 +237,23 @@
         return answer
 
     def _handle_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
-        back_end.was_full()
+        back_end.record_rejection()
         self._guard.rejected(back_end, rejection)
         if rejection.wrong_instance:
-            back_end.failed()
+            back_end.record_failure()
 
     def _handle_answer(
         self, forwarding: _Forwarding, back_end: BackEnd, answer: Answer | StreamingAnswer
     ) -> Answer | StreamingAnswer | None:
         """Return the answer for the caller; None if another attempt may follow."""
         if isinstance(answer, StreamingAnswer):
-            back_end.succeeded()
+            back_end.record_success()
             return replace(answer, chunks=self._monitored_body(answer, back_end, forwarding.trial))
         if retry.is_retryable(forwarding.route, answer):
             forwarding.history.record_server_error(back_end.record.id, answer)
-            back_end.failed()
+            back_end.record_failure()
             return None
-        back_end.succeeded()
+        back_end.record_success()
         return answer
 
     async def _monitored_body(
--- a/src/crankseam/serving/settings.py
+++ b/src/crankseam/serving/settings.py
@@ -23,7 +23,8 @@
     callers: str = ""
     """Accepts the connections of callers."""
     readiness: str = ""
-    """Answers the load balancer in front, which asks whether new connections are accepted."""
+    """Answers the readiness checks of the load balancer in front, which ask whether this process
+    accepts new connections."""
     metrics: str = ""
     peers: str = ""
     """Accepts the connections of other processes of the deployment."""
@@ -156,7 +157,7 @@
     return InvalidConfiguration("the settings are not valid", [error])
 
 
-def as_plain(settings: ProcessSettings) -> dict[str, Any]:
+def to_builtins(settings: ProcessSettings) -> dict[str, Any]:
     """Return the settings as built-in types, for the log line at start-up."""
     plain: dict[str, Any] = msgspec.to_builtins(settings)
     return plain
--- a/tests/coordination/test_duty_machine.py
+++ b/tests/coordination/test_duty_machine.py
@@ -80,14 +80,14 @@
         self.duty = Duty(
             self.client, self.state, self.lease, name, "usage", PAUSE_S, lambda: list(NAMES)
         )
-        self.lease.relied_on.append(self.duty.is_holder)
+        self.lease.reliance_checks.append(self.duty.is_holder)
         work = (self.lease.run, self.state.run, self._act)
         self.tasks = [asyncio.create_task(one()) for one in work]
 
     async def _act(self):
         while True:
             await asyncio.sleep(0.01)
-            fence = await self.duty.take_turn()
+            fence = await self.duty.acquire_if_vacant()
             if fence is None:
                 continue
             if self.frozen_s:
--- a/tests/jobs/test_urgency.py
+++ b/tests/jobs/test_urgency.py
@@ -11,8 +11,8 @@
     NEW_ITEM_SLOTS_SHARE,
     START_SPAN_S,
     is_long_run,
-    long_hint,
-    rank_of,
+    item_rank,
+    long_hint_threshold,
     slots_share,
 )
 from tests.jobs.factories import make_job
@@ -28,7 +28,7 @@
 
 
 def ranks(job, started_at):
-    return [rank_of(job, started_at, item, index) for index, item in enumerate(job.items)]
+    return [item_rank(job, started_at, item, index) for index, item in enumerate(job.items)]
 
 
 def test_the_longer_hint_goes_first_and_equal_ones_in_order():
@@ -49,8 +49,8 @@
 
 
 def test_an_item_is_expected_long_by_the_median_of_the_hints_that_were_told():
-    assert long_hint(job_with([0, 10, 20, 30])) == LONG_HINT_FACTOR * 20
-    assert long_hint(job_with([0, 0])) == math.inf
+    assert long_hint_threshold(job_with([0, 10, 20, 30])) == LONG_HINT_FACTOR * 20
+    assert long_hint_threshold(job_with([0, 0])) == math.inf
 
 
 def test_a_run_turns_out_long_by_its_events():
