--- a/src/crankseam/back_end_probe.py
+++ b/src/crankseam/back_end_probe.py
@@ -1,13 +1,14 @@
-"""May a back end get work whose watchers are not heard?
+"""Decides whether a back end may receive work while the watchers of its zone are silent.
 
 Inputs: seconds since the last news of the back end's zone, and the back end's own load report, at
-most `CACHE_S` old.
-Rule: while the zone is heard, its watchers' word is taken. Where it was silent for
-`SILENT_HEARTBEATS`, the back end is asked itself and gets work only if it answers and is not
-leaving.
-Protects: a back end that leaves during a cut gets no work, and one that is reached goes on.
-Shown by: the next attempt among the decisions of `crankseam explain`. Held by:
-tests/requests/test_app_requests.py; docs/design/06-membership.md.
+most `REPORT_CACHE_S` old.
+Rule: while news of the zone arrives, the reports of its watchers are trusted. If none has arrived
+for `SILENT_HEARTBEATS` heartbeat intervals, this node asks the back end itself and lets it receive
+work only if it answers and is not leaving.
+Purpose: during a network partition, a back end that is leaving receives no new work, and a back
+end that can still be reached continues to receive it.
+Logged as: the next attempt among the decisions that `crankseam explain` prints.
+Tested by: tests/requests/test_app_requests.py. Design: docs/design/06-membership.md.
 """
 
 from __future__ import annotations
@@ -22,20 +23,21 @@
 from crankseam.cluster.digest import DigestTable
 from crankseam.config.kinds import BackEnd
 
-CACHE_S = 0.5
-"""How long a back end's own report is used again. Origin not recorded."""
+REPORT_CACHE_S = 0.5
+"""Seconds for which a back end's own load report is reused."""
 SILENT_HEARTBEATS = 1.4
-"""A zone without news for this many heartbeats is not heard: news comes once a heartbeat."""
+"""Heartbeat intervals without news after which a zone counts as silent; news is due once per
+interval."""
 
 
 @dataclass(frozen=True)
-class _Seen:
+class _CachedReport:
     at: float
     report: LoadReport | None
 
 
 class BackEndProbe:
-    """Looks at back ends of zones that are not heard, at most twice a second each."""
+    """Queries back ends of silent zones, each at most once per `REPORT_CACHE_S`."""
 
     def __init__(
         self,
@@ -47,24 +49,28 @@
     ) -> None:
         self._session = session
         self._digest = digest
-        self._silence = heartbeat * SILENT_HEARTBEATS
+        self._silence_limit_s = heartbeat * SILENT_HEARTBEATS
         self._timeout = timeout
         self._clock = clock
-        self._seen: dict[str, _Seen] = {}
+        self._cached_reports: dict[str, _CachedReport] = {}
 
     async def may_get_work(self, back_end: BackEnd) -> bool:
-        """Whether a back end that routing chose may get work. Ask directly before sending."""
-        if self._digest.zone_silence(back_end.zone) <= self._silence:
+        """Whether a back end that routing chose may receive work.
+
+        The caller must ask immediately before it sends, so that the answer is current.
+        """
+        if self._digest.zone_silence(back_end.zone) <= self._silence_limit_s:
             return True
-        report = await self._look(back_end.address)
+        report = await self._fetch_cached(back_end.address)
         return report is not None and not report.leaving
 
-    async def _look(self, address: str) -> LoadReport | None:
-        seen = self._seen.get(address)
-        if seen is None or self._clock() - seen.at > CACHE_S:
-            # Dated before the question: what is reused is no older than it seems.
-            asked_at = self._clock()
+    async def _fetch_cached(self, address: str) -> LoadReport | None:
+        cached = self._cached_reports.get(address)
+        if cached is None or self._clock() - cached.at > REPORT_CACHE_S:
+            # The time is taken before the request, so that a cached report is never older than
+            # its recorded time.
+            requested_at = self._clock()
             report = await fetch_load_report(self._session, address, self._timeout)
-            seen = _Seen(asked_at, report)
-            self._seen[address] = seen
-        return seen.report
+            cached = _CachedReport(requested_at, report)
+            self._cached_reports[address] = cached
+        return cached.report
