--- a/src/crankseam/backoff.py
+++ b/src/crankseam/backoff.py
@@ -1,7 +1,7 @@
 """Retry back-off with full jitter, a token bucket, and a retry budget.
 
-Each owns its own count and is used by one task or process; none is shared between processes.
-Seconds and events a second.
+Each object keeps its own state and is used by one task or process; none is shared between
+processes. Times are in seconds, rates in events per second.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Backoff:
-    """Delays that grow with each failure: uniform in [0, min(cap, base * 2**failures)]."""
+    """Exponential retry delays: uniform in [0, min(cap, base * 2**failures)]."""
 
     def __init__(self, base: float, cap: float, generator: random.Random | None = None) -> None:
         self._base = base
@@ -22,7 +22,7 @@
         self._failures = 0
 
     def reset(self) -> None:
-        """Forget earlier failures."""
+        """Set the count of failures to zero, for example after a success."""
         self._failures = 0
 
     def next_delay(self) -> float:
@@ -33,7 +33,7 @@
 
 
 class TokenBucket:
-    """Allows `rate` events a second with bursts of `burst`."""
+    """Allows `rate` events per second, with bursts of up to `burst` events."""
 
     def __init__(
         self, rate: float, burst: float, clock: Callable[[], float] = time.monotonic
@@ -50,7 +50,7 @@
         self._updated = now
 
     def try_take(self) -> bool:
-        """Take one token if there is one."""
+        """Take one token if available; returns whether it was taken."""
         self._refill()
         if self._tokens < 1.0:
             return False
@@ -62,7 +62,7 @@
         return max(0.0, (1.0 - self._tokens) / self._rate)
 
     async def take(self) -> None:
-        """Take one token, waiting for it if need be."""
+        """Take one token, waiting until one is available."""
         while True:
             if self.try_take():
                 return
@@ -70,7 +70,7 @@
 
 
 class RetryBudget:
-    """Retries may be at most a fixed share of first attempts, so that retries make no storm."""
+    """Limits retries to a fixed share of first attempts, to prevent retry storms."""
 
     def __init__(self, ratio: float, reserve: float) -> None:
         self._ratio = ratio
@@ -78,11 +78,11 @@
         self._balance = reserve
 
     def count_attempt(self) -> None:
-        """Count a first attempt, which earns a share of a retry."""
+        """Count a first attempt, which adds `ratio` retries to the budget, up to `reserve`."""
         self._balance = min(self._reserve, self._balance + self._ratio)
 
     def try_spend(self) -> bool:
-        """Spend one retry if the budget has one."""
+        """Take one retry from the budget if available; returns whether it was taken."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
