--- a/src/crankseam/clocks.py
+++ b/src/crankseam/clocks.py
@@ -1,30 +1,31 @@
-"""The clocks of a process: one that paces it, one for what it promised to others, one for dates.
-
-A machine may be suspended. Its steady clock then stands still, and so do the timers of the event
-loop; the time of all others goes on. What only paces this process may stand still with it. What
-others rely on for a time, or what this process relies on for a time since others said so (leases,
-pauses between holders, the age of a confirmation, a caller's deadline), counts that time too. Wall
-time may be set back and forth: it dates ids and news and never judges a lease.
+"""Clocks of a process: for its own pacing, for time limits shared with others, and for dates.
+
+While a machine is suspended, its monotonic clock and the timers of the event loop stand still, but
+time passes for all other processes. Periods that only pace this process may use the monotonic
+clock. Time limits on which other processes rely, or that this process derives from what another
+process told it (leases, pauses between holders, the age of a confirmation, a caller's deadline),
+must include suspended time. The wall clock can be set forward or back: it dates identifiers and
+messages, and never decides whether a lease is valid.
 """
 
 from __future__ import annotations
 
 import time
 
-_PROMISES = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Where a system has no such clock, its steady clock has to do."""
+_BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+"""Systems without `CLOCK_BOOTTIME` fall back to their monotonic clock."""
 
 
 def paced_s() -> float:
-    """Seconds of the steady clock: stands still while the machine is suspended."""
+    """Seconds of the monotonic clock, which stands still while the machine is suspended."""
     return time.monotonic()
 
 
 def promised_s() -> float:
-    """Seconds that also pass while the machine is suspended; never set back."""
-    return time.clock_gettime(_PROMISES)
+    """Seconds of a clock that includes time spent suspended and is never set back."""
+    return time.clock_gettime(_BOOT_CLOCK)
 
 
 def wall_ms() -> int:
-    """Milliseconds since 1970 by the machine's own clock."""
+    """Milliseconds since the Unix epoch, by the machine's wall clock."""
     return time.time_ns() // 1_000_000
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""What others rely on for a time counts the time for which the machine was suspended."""
+"""Time limits that other processes rely on include the time for which the machine was suspended."""
 
 import time
 
@@ -26,11 +26,11 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Let the machine be suspended for a minute: its steady clock does not notice."""
+    """Simulate a suspension of `SUSPENDED_S`, which the monotonic clock does not include."""
 
     def suspend():
-        usual = time.clock_gettime
-        monkeypatch.setattr(time, "clock_gettime", lambda clock: usual(clock) + SUSPENDED_S)
+        original = time.clock_gettime
+        monkeypatch.setattr(time, "clock_gettime", lambda clock: original(clock) + SUSPENDED_S)
 
     return suspend
 
