--- a/src/crankseam/errors.py
+++ b/src/crankseam/errors.py
@@ -1,6 +1,6 @@
-"""Every failure of crankseam has a type; those that several packages share are here.
+"""Error types that several packages share; every failure of crankseam has its own type.
 
-Owns the types, statuses and outcomes of problem documents, which callers see.
+The types, statuses and outcomes of problem documents are defined here and are visible to callers.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class CrankseamError(Exception):
-    """Root of all errors that crankseam raises on purpose."""
+    """Base class of all errors that crankseam raises itself."""
 
 
 # --- configuration
@@ -20,7 +20,7 @@
 
 @dataclass
 class FieldError(CrankseamError):
-    """One wrong field of one file."""
+    """One invalid field of one file."""
 
     file: str
     line: int
@@ -32,12 +32,12 @@
 
 
 class InvalidConfiguration(ExceptionGroup[FieldError]):
-    """All the wrong fields found in one reading; nothing was applied."""
+    """All invalid fields that were found in one reading of the input; nothing was applied."""
 
 
 @dataclass
 class ApplyConflict(CrankseamError):
-    """Another operator's change was accepted since this one was planned."""
+    """Another operator's change was accepted after this one was planned."""
 
     planned_from: int
     current: int
@@ -60,7 +60,7 @@
 
 
 class KeyValueUnavailable(KeyValueError):
-    """The service refused or could not be reached; a write did not take effect."""
+    """The service refused the request or could not be reached; a write did not take effect."""
 
 
 class KeyValueThrottled(KeyValueUnavailable):
@@ -68,7 +68,7 @@
 
 
 class KeyValueOutcomeUnknown(KeyValueError):
-    """The answer to a write was lost: it may have taken effect."""
+    """The answer to a write was lost, so the write may have taken effect."""
 
 
 # --- peers and records
@@ -79,15 +79,15 @@
 
 
 class PeerUnreachable(PeerError):
-    """No connection to the peer, or it broke before the answer."""
+    """The connection to the peer failed, or broke before the answer arrived."""
 
 
 class PeerTimeout(PeerError):
-    """The peer did not answer in time."""
+    """The peer did not answer within the time-out."""
 
 
 class FrameError(CrankseamError):
-    """Bytes from a peer that are no frame of this protocol."""
+    """A peer sent bytes that are not a valid frame of this protocol."""
 
 
 class RecordError(CrankseamError):
@@ -99,15 +99,15 @@
 
 
 class SlotMoved(RecordError):
-    """The record's slot has a newer replica set than the one that was to be asked."""
+    """The record's slot has a newer replica set than the one that was addressed."""
 
 
 class RecordExpired(RecordError):
-    """The record's id is older than what the replicas still remember."""
+    """The record's id is older than the retention period of the replicas."""
 
 
 class Contention(RecordError):
-    """Another proposer kept winning; the change was not made by this one."""
+    """Other proposers kept winning, so this proposer did not make the change."""
 
 
 # --- answers to callers
@@ -115,12 +115,14 @@
 
 @dataclass
 class Problem(CrankseamError):
-    """An answer to a caller, sent as an RFC 9457 problem document.
+    """An error answer to a caller, sent as an RFC 9457 problem document.
 
-    Attributes:
-        detail: what happened, for a person.
-        outcome: `not_run`, `unknown` or `run`.
-        retry_after: seconds after which coming back helps; None where it does not.
+    Attributes
+    ==========
+
+    detail : human-readable description of what happened.
+    outcome : `not_run`, `unknown` or `run`.
+    retry_after : seconds after which a retry may succeed; None if a retry does not help.
     """
 
     status: ClassVar[int] = 500
@@ -135,35 +137,35 @@
 
 
 class BadRequest(Problem):
-    """The request lacks something, or says something malformed."""
+    """The request is malformed, or lacks something that is required."""
 
     status = 400
     type = "bad-request"
 
 
 class Unauthorized(Problem):
-    """The caller showed no API key that is known."""
+    """The caller presented no known API key."""
 
     status = 401
     type = "unauthorized"
 
 
 class Forbidden(Problem):
-    """The caller did not show a key that is needed here."""
+    """The caller did not present the key that this path requires."""
 
     status = 403
     type = "forbidden"
 
 
 class NotFound(Problem):
-    """No such service, trainer or record."""
+    """The service, trainer or record does not exist."""
 
     status = 404
     type = "not-found"
 
 
 class IdentifierExpired(Problem):
-    """The idempotency key is older than what is remembered, so it is never run."""
+    """The idempotency key is older than the retention period, so the request is never run."""
 
     status = 410
     type = "identifier-expired"
@@ -177,28 +179,28 @@
 
 
 class OutcomeUnknown(Problem):
-    """The request may have run; nobody can tell yet."""
+    """The request may have run; its outcome is not known yet."""
 
     status = 504
     type = "outcome-unknown"
 
 
 class Overloaded(Problem):
-    """A limit is reached; the request was not forwarded."""
+    """A limit was reached; the request was not forwarded."""
 
     status = 429
     type = "overloaded"
 
 
 class Unavailable(Problem):
-    """This node may not take new work, or no back end may."""
+    """This node may not accept new work, or no back end may."""
 
     status = 503
     type = "unavailable"
 
 
 class RequestHeld(Unavailable):
-    """Back ends ended under this request before; it is held back, and was sent to nobody."""
+    """Back ends crashed while running this request; it is held back and was not forwarded."""
 
     type = "request-held"
 
