--- a/src/crankseam/logs.py
+++ b/src/crankseam/logs.py
@@ -1,8 +1,8 @@
 """Structured logs of `crankseam node`: JSON lines through the standard `logging` module.
 
-Owns the form of a line: its text names the event, `extra` its fields. `serving/logs` does this on
-the users' platform, and differs by intent: lines have other names for their fields there, events
-come from a catalogue, and the handler never waits for its reader but drops lines and counts them.
+The message of a line names the event, and `extra` holds its fields. `serving/logs` does the same
+for the users' platform and differs on purpose: its lines use other field names, its events come
+from a catalogue, and its handler drops and counts lines instead of waiting for a slow reader.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
+LINE_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 def configure_logging(node: str, level: str) -> None:
-    """Send every record to standard error as one JSON object, marked with the node's name."""
+    """Write every log record to standard error as one JSON object that includes the node's name."""
     handler = logging.StreamHandler(sys.stderr)
-    formatter = JsonFormatter(FIELDS, static_fields={"node": node})
+    formatter = JsonFormatter(LINE_FORMAT, static_fields={"node": node})
     handler.setFormatter(formatter)
     root = logging.getLogger()
     root.handlers = [handler]
