--- a/src/crankseam/machine_retirement.py
+++ b/src/crankseam/machine_retirement.py
@@ -1,7 +1,7 @@
-"""Answers the operator's request to empty a machine before it is taken away.
+"""Answers the operator's request to empty a machine before it is removed.
 
-Machines keep nothing that must outlive them: jobs and their results are in the coordination
-store. So a machine is empty as soon as it is asked for, whoever answers.
+Machines hold no state that must outlive them: jobs and their results are in the coordination store.
+A machine is therefore empty as soon as the request arrives, whichever process answers it.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 
 log = logging.getLogger(__name__)
 
-SPREAD_S = 1.0
-"""Seconds over which processes spread their answers: every front sees the request, and most find it
-answered when their turn comes. Origin not recorded."""
+ANSWER_JITTER_S = 1.0
+"""Upper bound, in seconds, of the random delay before a process answers: every front sees the
+request, and after the delay most find it already answered."""
 RETRY_BASE_S = 0.3
-"""Longest pause, in seconds, after the first failure of the store. Origin not recorded."""
+"""Upper bound, in seconds, of the pause after the first failure of the store."""
 RETRY_CAP_S = 2.0
-"""Seconds that the pause does not exceed. Origin not recorded."""
+"""Upper bound, in seconds, of every such pause."""
 
 
 class MachineRetirements:
-    """Writes the status of machines that are to be taken away."""
+    """Writes the retirement status of machines that are to be removed."""
 
     def __init__(self, store: CoordinationStore) -> None:
         self._store = store
         self._answered: set[str] = set()
 
     async def answer(self, machine: str, status_key: str, status: bytes) -> None:
-        """Say once that the machine is empty, through every failure of the store."""
+        """Report once that the machine is empty, retrying until the store has the report."""
         if machine in self._answered:
             return
         self._answered.add(machine)
-        await asyncio.sleep(random.uniform(0.0, SPREAD_S))
+        await asyncio.sleep(random.uniform(0.0, ANSWER_JITTER_S))
         backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         while True:
             try:
@@ -60,5 +60,5 @@
         try:
             await self._store.commit(Transaction([Condition(key, ABSENT)], [Put(key, status)]))
         except TransactionConflict:
-            # Another process has answered meanwhile, and what it wrote is the same.
+            # Another process answered in the meantime, with the same status.
             return
