--- a/src/crankseam/metrics.py
+++ b/src/crankseam/metrics.py
@@ -1,9 +1,8 @@
-"""Prometheus metrics of one node.
+"""Prometheus metrics of one node, in a registry of their own.
 
-Owns a registry of its own; gauges are set when the page is asked for. `serving/metrics` does this
-on the users' platform, and differs by intent: it counts log events and calls to the store, and its
-buckets are those of the calls there. The names of both are read by operators and share nothing but
-a prefix.
+Gauges are set when the metrics page is requested. `serving/metrics` does the same for the users'
+platform and differs on purpose: it counts log events and calls to the store, with histogram buckets
+that suit those calls. Operators read the names of both; they share only a prefix.
 """
 
 from __future__ import annotations
@@ -15,12 +14,11 @@
 from crankseam.errors import Problem
 
 LATENCY_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
-"""Upper bounds of the histogram of a request's time, up to the default deadline. Origin not
-recorded."""
+"""Upper bounds of the request-latency histogram, up to the default deadline."""
 
 
 class NodeMetrics:
-    """Counters of one process, in a registry of its own."""
+    """Counter, histogram and gauges of one process."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -53,19 +51,19 @@
         }
 
     def count_problem(self, problem: Problem) -> None:
-        """Count one problem answer."""
+        """Count one problem document by its type and outcome."""
         self._problems.labels(problem.type, problem.outcome).inc()
 
     def observe_request(self, service: str, seconds: float) -> None:
-        """Count one request and its time."""
+        """Record the latency of one request to a service."""
         self._latency.labels(service).observe(seconds)
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Set a gauge before it is read."""
+        """Set a gauge of the given name, without the prefix `crankseam_`."""
         self._gauges[name].set(value)
 
     def render(self) -> bytes:
-        """All metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.set_gauge("cpu_seconds", usage.ru_utime + usage.ru_stime)
         return generate_latest(self._registry)
