--- a/src/crankseam/node.py
+++ b/src/crankseam/node.py
@@ -1,9 +1,9 @@
-"""One serving node: makes its parts in order, serves callers, and stops as planned.
+"""One serving node: builds its components in order, serves callers, and performs the planned stop.
 
-Owns the HTTP server, the order in which parts are made, and the planned stop: no new work, running
-work finishes, records and duties are handed over, then what still comes on open connections is
-answered until they are quiet. Relies on the agent for everything that nodes do together; a node
-without one of its controllers does not go on serving.
+In a planned stop the node takes no new work, lets running work finish, and hands its records and
+duties over. It then answers requests that still arrive on open connections until the connections
+are quiet. The cluster agent provides what nodes do together. A node that loses one of its
+controllers stops serving.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import Problem
 from crankseam.metrics import NodeMetrics
-from crankseam.operator_api import OperatorApi, ShownParts
+from crankseam.operator_api import ObservedComponents, OperatorApi
 from crankseam.peers.transport import PeerTransport
 from crankseam.problems import problem_response
 from crankseam.requests.claim import ClaimFilter, RefusalFilter, RequestClaims
@@ -55,34 +55,34 @@
 
 log = logging.getLogger(__name__)
 
-SAMPLER_SILENCE_S = 10.0
-"""Silence after which a stream counts as broken and its sample goes on elsewhere. Origin not
-recorded."""
+SAMPLER_STREAM_TIMEOUT_S = 10.0
+"""Seconds without data after which a sampler's stream counts as broken and its sample continues on
+another sampler."""
 DRAIN_POLL_S = 0.05
-"""How often a planned stop looks whether it may go on. Origin not recorded."""
-LINGER_S = 0.5
-"""Time without a request after which callers' connections count as quiet. Origin not recorded."""
-MAX_LINGER_S = 5.0
-"""Longest wait for that, where callers do not stop sending. Origin not recorded."""
-BACK_END_CONNECTIONS = 1000
-"""Open at a time to all back ends together. Origin not recorded."""
+"""Seconds between two checks of whether a planned stop may proceed."""
+QUIET_PERIOD_S = 0.5
+"""Seconds without a request after which callers' connections count as quiet."""
+MAX_QUIET_WAIT_S = 5.0
+"""Longest wait, in seconds, for the connections to become quiet if callers keep sending."""
+MAX_BACK_END_CONNECTIONS = 1000
+"""Connections that are open at a time to all back ends together."""
 MAX_HTTP_BODY_BYTES = 16 * 1024 * 1024
-"""Read of any request, trainers' steps among them; app requests are bounded by
-`MAX_REQUEST_BODY_BYTES`. Origin not recorded."""
-ANSWERS_TIMEOUT_S = 1.0
-"""How long the HTTP server waits for open answers when it is closed. Origin not recorded."""
+"""Largest body of any HTTP request, including trainers' steps; app requests are bounded by
+`MAX_REQUEST_BODY_BYTES`."""
+SERVER_SHUTDOWN_TIMEOUT_S = 1.0
+"""Seconds that the HTTP server waits for unfinished answers when it is closed."""
 
 
 class Controller(Protocol):
-    """Reconciles some state until cancelled."""
+    """A background loop that reconciles some state until it is cancelled."""
 
     async def run(self) -> None:
-        """Reconcile forever."""
+        """Reconcile until cancelled."""
         ...
 
 
 class Node:
-    """Starts and stops all parts of one process."""
+    """Builds, starts and stops all components of one process."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings = settings
@@ -93,19 +93,21 @@
         self.admission = AdmissionFilter(settings.max_requests)
         self.caller_port = 0
         self._stopping = False
-        self._last_request = 0.0
+        self._last_request_at = 0.0
 
     # --- start
 
     async def start(self) -> None:
-        """Join the others and serve callers."""
+        """Join the cluster and start to serve callers."""
         self._session = single_send_session(
             trace_configs=[trace_first_byte()],
-            connector=aiohttp.TCPConnector(limit=BACK_END_CONNECTIONS),
+            connector=aiohttp.TCPConnector(limit=MAX_BACK_END_CONNECTIONS),
             auto_decompress=False,
         )
         app = web.Application(client_max_size=MAX_HTTP_BODY_BYTES)
-        self._runner = web.AppRunner(app, handle_signals=False, shutdown_timeout=ANSWERS_TIMEOUT_S)
+        self._runner = web.AppRunner(
+            app, handle_signals=False, shutdown_timeout=SERVER_SHUTDOWN_TIMEOUT_S
+        )
         await self._bind_agent()
         self._build(app)
         await self._runner.setup()
@@ -125,14 +127,18 @@
 
     async def _bind_agent(self) -> None:
         settings = self.settings
-        local = (settings.bind_outgoing, 0) if settings.bind_outgoing else None
+        local_address = (settings.bind_outgoing, 0) if settings.bind_outgoing else None
         transport = PeerTransport(
-            settings.name, 0, local, self.tls.peer_server_context, self.tls.peer_client_context
+            settings.name,
+            0,
+            local_address,
+            self.tls.peer_server_context,
+            self.tls.peer_client_context,
         )
         await self.agent.start(transport, caller_address="")
 
     def _build(self, app: web.Application) -> None:
-        """Make the parts, from what others need to what needs others."""
+        """Build the components, each after those on which it depends."""
         self._build_controllers()
         timing = self.settings.timing
         probe = BackEndProbe(
@@ -154,7 +160,7 @@
 
     def _build_rollout(self, probe: BackEndProbe) -> None:
         agent = self.agent
-        sampler = SamplerClient(self._session, SAMPLER_SILENCE_S)
+        sampler = SamplerClient(self._session, SAMPLER_STREAM_TIMEOUT_S)
         self.executors = StreamExecutors(agent, sampler)
         generator = SampleGenerator(
             self.executors,
@@ -168,7 +174,7 @@
         self.rollout = RolloutService(agent, generator)
 
     def _build_request_chain(self, probe: BackEndProbe) -> None:
-        """The way of an app request, first to last."""
+        """Build the chain of filters for app requests, in order of execution."""
         agent = self.agent
         self.claims = RequestClaims(agent)
         self._chain = build_chain(
@@ -193,16 +199,16 @@
         )
 
     def _add_routes(self, app: web.Application) -> None:
-        app.middlewares.append(self._answer_problems)
+        app.middlewares.append(self._problem_middleware)
         app.router.add_route("*", "/services/{service}/{path:.*}", self._handle_service)
         self.rollout.add_routes(app)
-        OperatorApi(self._shown_parts()).add_routes(app)
+        OperatorApi(self._observed_components()).add_routes(app)
         if self.settings.data_folder is not None:
             cache = WeightsCache(self.settings.data_folder, self._session, self.agent.lease)
             cache.add_routes(app)
 
-    def _shown_parts(self) -> ShownParts:
-        return ShownParts(
+    def _observed_components(self) -> ObservedComponents:
+        return ObservedComponents(
             agent=self.agent,
             is_ready=self.is_ready,
             metrics=self.metrics,
@@ -234,15 +240,15 @@
     # --- requests
 
     @web.middleware
-    async def _answer_problems(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
-        self._last_request = time.monotonic()
+    async def _problem_middleware(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
+        self._last_request_at = time.monotonic()
         try:
             response = await handler(request)
         except Problem as problem:
             self.metrics.count_problem(problem)
             response = problem_response(problem, {})
         if self._stopping:
-            response.force_close()  # the caller's next request must find another node
+            response.force_close()  # so that the caller's next request goes to another node
         return response
 
     async def _handle_service(self, request: web.Request) -> web.StreamResponse:
@@ -255,11 +261,11 @@
         try:
             answer = await self._chain(context)
         except Problem as problem:
-            return self._answer_problem(context, problem)
+            return self._problem_response(context, problem)
         except Exception:
             log.exception("request failed", extra={"request": context.request_id})
             internal = Problem("this node failed on the request; it may have run")
-            return self._answer_problem(context, internal)
+            return self._problem_response(context, internal)
         finally:
             self._log_request(context, time.monotonic() - started)
         if answer.response is not None:
@@ -278,8 +284,8 @@
         }
         log.info("request", extra=fields)
 
-    def _answer_problem(self, context: RequestContext, problem: Problem) -> web.Response:
-        """Tell the caller; a refusal that no choice of a back end led to is a decision too."""
+    def _problem_response(self, context: RequestContext, problem: Problem) -> web.Response:
+        """Return the problem response; a refusal without a routing decision is recorded as one."""
         self.metrics.count_problem(problem)
         if context.decision is None:
             context.decision = Decision(
@@ -304,13 +310,13 @@
         return headers
 
     def is_ready(self) -> bool:
-        """Whether this node takes new work."""
+        """Whether this node accepts new work."""
         return self.agent.lease.is_held() and not self._stopping
 
     # --- stop
 
     async def stop_gracefully(self) -> None:
-        """A planned stop: take no new work, finish what runs, hand records and duties over."""
+        """Stop as planned: refuse new work, finish running work, hand records and duties over."""
         self._stopping = True
         self.admission.draining = True
         self.rollout.draining = True
@@ -330,24 +336,24 @@
         await self.close()
 
     async def _stop_listening(self) -> None:
-        """Refuse new connections, and answer what still comes on open ones until they are quiet.
+        """Refuse new connections, and answer requests on open ones until they are quiet.
 
-        Closing at once would cut off a request that is on its way on a kept-alive connection.
+        Closing at once would cut off a request that is in transit on a keep-alive connection.
         """
         await self._site.stop()
         try:
-            async with asyncio.timeout(MAX_LINGER_S):
-                while not self._is_quiet():  # noqa: ASYNC110 - the passing of time decides
+            async with asyncio.timeout(MAX_QUIET_WAIT_S):
+                while not self._is_quiet():  # noqa: ASYNC110 - depends on elapsed time
                     await asyncio.sleep(DRAIN_POLL_S)
         except TimeoutError:
             log.info("callers kept sending to a node that stops")
 
     def _is_quiet(self) -> bool:
-        newest = max(self._last_request, self._drained_at)
-        return time.monotonic() - newest >= LINGER_S
+        newest = max(self._last_request_at, self._drained_at)
+        return time.monotonic() - newest >= QUIET_PERIOD_S
 
     async def _drain(self) -> None:
-        while not self._is_drained():  # noqa: ASYNC110 - counters, not an event, decide
+        while not self._is_drained():  # noqa: ASYNC110 - depends on counters
             await asyncio.sleep(DRAIN_POLL_S)
 
     def _is_drained(self) -> bool:
@@ -360,7 +366,7 @@
         return not busy and not self.placement.is_needed()
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for running work."""
         await self.rollout.close()
         await self._runner.cleanup()
         await self.agent.close()
--- a/src/crankseam/operator_api.py
+++ b/src/crankseam/operator_api.py
@@ -1,7 +1,7 @@
-"""HTTP paths for operators and probes: status, explain, metrics, health.
+"""HTTP endpoints for operators and probes: status, explain, suspects, metrics and health.
 
-Owns the paths and the form of their answers. Relies on the parts of the node that it shows; it
-changes nothing but a suspect that an operator releases, which is then so at every node.
+The paths and the form of their answers are defined here. All endpoints are read-only except the
+release of a suspect, which takes effect on every node.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 @dataclass(frozen=True)
-class ShownParts:
-    """What of a node operators can look at.
+class ObservedComponents:
+    """The components of a node whose state operators can query.
 
     Attributes
     ==========
 
-    is_ready : whether the node takes new work now.
+    is_ready : returns whether the node accepts new work now.
     """
 
     agent: ClusterAgent
@@ -49,13 +49,13 @@
 
 
 class OperatorApi:
-    """Answers operators and probes."""
+    """Handles the requests of operators and probes."""
 
-    def __init__(self, parts: ShownParts) -> None:
+    def __init__(self, parts: ObservedComponents) -> None:
         self._parts = parts
 
     def add_routes(self, app: web.Application) -> None:
-        """Register the paths."""
+        """Register the routes, and the middleware that guards the operators' paths."""
         app.middlewares.append(self._require_operator)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
@@ -69,7 +69,7 @@
     async def _require_operator(
         self, request: web.Request, handler: RequestHandler
     ) -> web.StreamResponse:
-        """Where operators have keys, their paths are for callers that showed one."""
+        """If an operators' authority is set, refuse their paths without a client certificate."""
         guarded = request.path.startswith(OPERATOR_PREFIX)
         if guarded and self._parts.agent.settings.tls.operators_authority is not None:
             transport = request.transport
@@ -150,7 +150,7 @@
         ]
 
     async def _suspects(self, _request: web.Request) -> web.Response:
-        """Requests under which back ends ended; no body is kept, so none is shown."""
+        """List the requests under which back ends crashed, without bodies, as none is stored."""
         now = clocks.paced_s()
         listed = [
             {
@@ -176,8 +176,8 @@
         return web.Response(body=body, content_type="application/json")
 
     async def _explain(self, request: web.Request) -> web.Response:
-        wanted = request.match_info["id"]
-        found = await self._parts.decisions.find(wanted)
+        identifier = request.match_info["id"]
+        found = await self._parts.decisions.find(identifier)
         if not found:
-            raise NotFound(f"no decision is kept for {wanted}")
+            raise NotFound(f"no decision is kept for {identifier}")
         return web.Response(body=msgspec.json.encode(found), content_type="application/json")
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The paths that operators ask of a running node."""
+"""HTTP endpoints for operators, queried on a running node."""
 
 import aiohttp
 
