--- a/src/crankseam/problems.py
+++ b/src/crankseam/problems.py
@@ -1,7 +1,6 @@
 """Problem documents (RFC 9457) for callers.
 
-Owns their form and the rounding of `Retry-After`: up to whole seconds, at least 1, as the header
-has no smaller unit.
+`Retry-After` is rounded up to whole seconds, at least 1, as the header has no smaller unit.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 
 
 def problem_response(problem: Problem, headers: dict[str, str]) -> web.Response:
-    """The answer that tells a caller what happened, what became of the request, and when to
-    come back."""
+    """Return the response that tells a caller what happened, the outcome of the request, and when
+    to retry."""
     body = {
         "type": PROBLEM_TYPE_PREFIX + problem.type,
         "title": problem.type.replace("-", " "),
