--- a/src/crankseam/routing.py
+++ b/src/crankseam/routing.py
@@ -1,20 +1,23 @@
-"""Which back end gets a request or sample, and why do the others not?
-
-Inputs: the configuration's back ends; watchers' reports of their life, leaving flag, load and
-version (as old as `age` says; see `back_end_watch`); what this node itself sent there and when a
-connection was last refused (seconds of the steady clock); the machine list's leaving machines.
-Rule: one that is leaving by any source, set aside, silent to all its watchers, or refused a
-connection within `CONNECTION_FAILURE_S` is not eligible. Of the others the least load wins, which
-is what this node has in flight there or, if more, the newest report and what was sent since. Equal
-loads: one of this zone first, then a random tie-break, so that nodes do not all agree.
-Protects: a back end that leaves from new work, and the others from the load that reports, seconds
-old, do not show.
-Shown by: the decision in `crankseam explain`, with each candidate and the reason it was refused.
-Held by: tests/test_routing.py, tests/requests/test_app_requests.py, tests/rollout/.
-
-`serving/back_ends.choose` does this on the users' platform, and differs by intent: a back end has
-slots there that loads are measured against, failures in a row are avoided for longer and longer and
-such a back end is taken where no other is left, and no refusals are kept to be asked about.
+"""Chooses the back end for a request or sample, and states why other back ends are not eligible.
+
+Inputs: the configuration's back ends; watchers' reports of liveness, leaving flag, load and version
+(as old as `age` says; see `back_end_watch`); what this node itself sent to a back end and when a
+connection was last refused (seconds of the monotonic clock); the machine list's leaving machines.
+Rule: a back end is not eligible if any source says that it is leaving, if it is set aside, if none
+of its watchers reaches it, or if it refused a connection within `CONNECTION_FAILURE_S`. Of the
+others, the one with the least load is chosen. The load is the number of requests that this node has
+in flight there or, if greater, the load in the newest report plus the requests sent since. Among
+equal loads, a back end of this zone is preferred, then a random one, so that nodes do not all
+choose the same.
+Purpose: a back end that is leaving receives no new work, and the others are not overloaded while
+reports, which are seconds old, do not show their present load.
+Logged as: the decision that `crankseam explain` prints, with each candidate and the reason why it
+was refused.
+Tested by: tests/test_routing.py, tests/requests/test_app_requests.py, tests/rollout/.
+
+`serving/back_ends.choose` does the same for the users' platform and differs on purpose: loads are
+relative to the slots of a back end; a back end with consecutive failures is avoided for increasing
+periods, but is used if no other is left; and refusals are not kept for later queries.
 """
 
 from __future__ import annotations
@@ -32,53 +35,57 @@
 from crankseam.decisions import Candidate
 
 CONNECTION_FAILURE_S = 1.0
-"""A back end that refused a connection is passed over for this long; its watchers report it dead
-within two readings. Origin not recorded."""
-REMEMBERED_SENDS = 1024
-"""Sends to one back end whose times are kept, to be counted after a report. Origin not recorded."""
+"""Seconds for which a back end that refused a connection is not eligible; its watchers report it
+dead within two readings."""
+MAX_SEND_TIMES = 1024
+"""Most send times kept per back end; those later than a report are added to the reported load."""
 
 NOTE_PREFIX = "weights/"
-"""Reports of this kind of watcher carry a controller's note and no load."""
+"""Prefix of the watcher name in reports that carry a controller's note and no load."""
 
-LEAVING_SEEN_FILE = "leaving: by its file"
-LEAVING_SEEN_REPORT = "leaving: by its own report"
-LEAVING_SEEN_MACHINE = "leaving: by the machine list"
+LEAVING_BY_FILE = "leaving: by its file"
+LEAVING_BY_REPORT = "leaving: by its own report"
+LEAVING_BY_MACHINE_LIST = "leaving: by the machine list"
 
 
 @dataclass
-class LocalView:
-    """What this node itself knows of one back end."""
+class LocalBackEndState:
+    """What this node itself knows about one back end."""
 
     in_flight: int = 0
-    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=REMEMBERED_SENDS))
+    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_SEND_TIMES))
     failed_at: float = float("-inf")
 
 
-def expected_load(view: LocalView, newest: AgedReport | None, now: float) -> float:
-    """Requests at a back end, as far as this node can tell."""
+def expected_load(local_state: LocalBackEndState, newest: AgedReport | None, now: float) -> float:
+    """Estimate the number of requests at a back end.
+
+    It is the number in flight from this node or, if greater, the load in the newest report plus the
+    requests that this node sent since.
+    """
     if newest is None:
-        return float(view.in_flight)
+        return float(local_state.in_flight)
     reported_at = now - newest.age
-    sent_since = sum(1 for at in reversed(view.sent_at) if at > reported_at)
+    sent_since = sum(1 for at in reversed(local_state.sent_at) if at > reported_at)
     reported = newest.report.running + newest.report.waiting
-    return float(max(view.in_flight, reported + sent_since))
+    return float(max(local_state.in_flight, reported + sent_since))
 
 
-def watchers_only(reports: Iterable[AgedReport]) -> list[AgedReport]:
-    """The reports of watchers, without controllers' notes."""
-    return [each for each in reports if not each.report.watcher.startswith(NOTE_PREFIX)]
+def watcher_reports(reports: Iterable[AgedReport]) -> list[AgedReport]:
+    """Return the reports that come from watchers, without controllers' notes."""
+    return [aged for aged in reports if not aged.report.watcher.startswith(NOTE_PREFIX)]
 
 
 @dataclass(frozen=True)
 class Choice:
-    """A chosen back end (None if there was none) and all that were considered."""
+    """The chosen back end (None if none was eligible) and all candidates."""
 
     back_end: BackEnd | None
     candidates: list[Candidate]
 
 
 class Router:
-    """Scores back ends; shared by app requests and rollouts."""
+    """Chooses back ends by load; shared by app requests and rollouts."""
 
     def __init__(
         self,
@@ -91,28 +98,28 @@
         self._zone = zone
         self._random = generator
         self._clock = clock
-        self._views: dict[str, LocalView] = {}
-        self._turns: dict[str, int] = {}
-        self._turn = itertools.count(1)
+        self._states: dict[str, LocalBackEndState] = {}
+        self._last_turns: dict[str, int] = {}
+        self._turn_counter = itertools.count(1)
         self.leaving_machines: set[str] = set()
-        """host of each machine that the machine list calls leaving or gone."""
+        """Hosts of the machines that the machine list reports as leaving or gone."""
 
-    def view(self, target: str) -> LocalView:
-        """This node's own view of `service/back end`."""
-        return self._views.setdefault(target, LocalView())
+    def view(self, target: str) -> LocalBackEndState:
+        """Return this node's own state of a back end; `target` is `group/back end`."""
+        return self._states.setdefault(target, LocalBackEndState())
 
     def start(self, target: str) -> None:
-        """Count a request that is now sent to the back end."""
-        view = self.view(target)
-        view.in_flight += 1
-        view.sent_at.append(self._clock())
+        """Record that a request is now sent to the back end."""
+        local_state = self.view(target)
+        local_state.in_flight += 1
+        local_state.sent_at.append(self._clock())
 
     def finish(self, target: str) -> None:
-        """Count a request that ended there."""
+        """Record that a request to the back end ended."""
         self.view(target).in_flight -= 1
 
     def fail_connection(self, target: str) -> None:
-        """Pass the back end over for a while: it refused a connection."""
+        """Record a refused connection, which makes the back end ineligible for a while."""
         self.view(target).failed_at = self._clock()
 
     def choose(
@@ -124,12 +131,14 @@
     ) -> Choice:
         """Choose one of `back_ends` of the service or pool `group`.
 
-        Args:
-            eligible: returns a reason to refuse a candidate, None to accept it.
-            excluded: names already tried for this request.
+        Parameters
+        ==========
+
+        eligible : returns the reason why a candidate is refused, None to accept it.
+        excluded : names of back ends that were already tried for this request.
         """
         by_name = {back_end.name: back_end for back_end in back_ends}
-        candidates = [self._consider(group, back_end) for back_end in by_name.values()]
+        candidates = [self._make_candidate(group, back_end) for back_end in by_name.values()]
         for candidate in candidates:
             if candidate.refused is None and candidate.name in excluded:
                 candidate.refused = "already tried for this request"
@@ -139,10 +148,11 @@
         if not accepted:
             return Choice(None, candidates)
         lowest = min(candidate.load for candidate in accepted)
-        # Equal loads: one of this zone first, then by chance, so that nodes do not all agree.
+        # Equal loads: prefer this zone, then choose at random, so that nodes do not all choose
+        # the same back end.
         tied = [candidate for candidate in accepted if candidate.load == lowest]
-        near = [c for c in tied if by_name[c.name].zone == self._zone]
-        chosen = self._random.choice(near or tied)
+        same_zone = [c for c in tied if by_name[c.name].zone == self._zone]
+        chosen = self._random.choice(same_zone or tied)
         return Choice(by_name[chosen.name], candidates)
 
     def take_turns(
@@ -151,40 +161,42 @@
         back_ends: Iterable[BackEnd],
         eligible: Callable[[Candidate], str | None],
     ) -> Choice:
-        """Choose the eligible one that had its last request the longest ago."""
+        """Choose the eligible back end that this method chose the longest ago."""
         choice = self.choose(group, back_ends, eligible)
         accepted = [c.name for c in choice.candidates if c.refused is None]
         if not accepted:
             return choice
         by_name = {back_end.name: back_end for back_end in back_ends}
-        chosen = min(accepted, key=lambda name: self._turns.get(f"{group}/{name}", 0))
-        self._turns[f"{group}/{chosen}"] = next(self._turn)
+        chosen = min(accepted, key=lambda name: self._last_turns.get(f"{group}/{name}", 0))
+        self._last_turns[f"{group}/{chosen}"] = next(self._turn_counter)
         return Choice(by_name[chosen], choice.candidates)
 
-    def _consider(self, group: str, back_end: BackEnd) -> Candidate:
+    def _make_candidate(self, group: str, back_end: BackEnd) -> Candidate:
         target = f"{group}/{back_end.name}"
-        view = self.view(target)
+        local_state = self.view(target)
         reports = self._digest.reports_for(target)
-        refused = self._refusal(back_end, view, reports)
-        newest = min(watchers_only(reports), key=lambda each: each.age, default=None)
-        load = expected_load(view, newest, self._clock())
+        refused = self._refusal(back_end, local_state, reports)
+        newest = min(watcher_reports(reports), key=lambda aged: aged.age, default=None)
+        load = expected_load(local_state, newest, self._clock())
         version = newest.report.version if newest is not None else NO_VERSION
         return Candidate(back_end.name, load, version, refused)
 
-    def _refusal(self, back_end: BackEnd, view: LocalView, reports: list[AgedReport]) -> str | None:
-        """Why the back end is not eligible; None if it is."""
+    def _refusal(
+        self, back_end: BackEnd, local_state: LocalBackEndState, reports: list[AgedReport]
+    ) -> str | None:
+        """Return the reason why the back end is not eligible; None if it is."""
         if back_end.leaving:
-            return LEAVING_SEEN_FILE
-        if any(each.report.leaving for each in reports):
-            return LEAVING_SEEN_REPORT
+            return LEAVING_BY_FILE
+        if any(aged.report.leaving for aged in reports):
+            return LEAVING_BY_REPORT
         if back_end.address.rpartition(":")[0] in self.leaving_machines:
-            return LEAVING_SEEN_MACHINE
-        set_aside = next((each.report.set_aside for each in reports if each.report.set_aside), None)
+            return LEAVING_BY_MACHINE_LIST
+        set_aside = next((aged.report.set_aside for aged in reports if aged.report.set_aside), None)
         if set_aside is not None:
             return f"set aside: {set_aside}"
-        observed = watchers_only(reports)
-        if observed and not any(each.report.alive for each in observed):
+        observed = watcher_reports(reports)
+        if observed and not any(aged.report.alive for aged in observed):
             return "does not answer its watchers"
-        if self._clock() - view.failed_at < CONNECTION_FAILURE_S:
+        if self._clock() - local_state.failed_at < CONNECTION_FAILURE_S:
             return "refused a connection just now"
         return None
