--- a/src/crankseam/settings.py
+++ b/src/crankseam/settings.py
@@ -1,8 +1,8 @@
-"""Settings of one node: a TOML file, overridden by flags, checked in one place.
+"""Settings of one node: a TOML file, overridden by command-line flags and validated here.
 
-Owns names and defaults, which operators rely on. `serving/settings` are those of the users'
-platform: a process there is told other things, and reads some of them anew while it runs. A
-duration has its unit in the file (`250ms`) and is in seconds here.
+Operators rely on the names and defaults. `serving/settings` holds the settings of the users'
+platform, whose processes need other values and reread some of them while they run. A duration has
+a unit in the file (`250ms`) and is in seconds here.
 """
 
 from __future__ import annotations
@@ -24,62 +24,68 @@
 
 
 class TlsSettings(_Concern):
-    """Keys for connections between nodes and towards callers; all or none are given."""
+    """TLS keys for connections between nodes and to callers; all or none are given."""
 
     certificate: Path | None = None
     """PEM file with this node's certificate chain."""
     key: Path | None = None
-    """PEM file with its private key."""
+    """PEM file with this node's private key."""
     authority: Path | None = None
-    """PEM file with the authority that signs the nodes' certificates."""
+    """PEM file with the certificate of the authority that signs the nodes' certificates."""
     callers_certificate: Path | None = None
-    """Certificate shown to callers; None serves callers without TLS."""
+    """PEM file with the certificate presented to callers; None serves callers without TLS."""
     callers_key: Path | None = None
     operators_authority: Path | None = None
-    """Authority that signs operators' certificates; None lets any caller ask for status."""
+    """PEM file with the authority that signs operators' certificates; None opens the operators'
+    paths to any caller."""
     reload_interval: Duration = 5.0
-    """How often the files are looked at for new keys."""
+    """Interval at which the files are checked for changes."""
 
 
 class TimingSettings(_Concern):
-    """Periods and terms; tests shorten them. A sum that matters is noted beside the field."""
+    """Periods, time-outs and lease terms, which tests shorten.
+
+    Constraints on the sum of several values are noted at the fields concerned.
+    """
 
     heartbeat_interval: Duration = 1.0
-    """Between two heartbeats to a relay; the answer carries the reading of the register."""
+    """Interval of heartbeats to a relay; answers carry a reading of the configuration register."""
     suspect_after: Duration = 1.5
-    """Silence after which a member is no longer chosen for new duties."""
+    """Time without news of a member, after which it is no longer chosen for new duties."""
     dead_after: Duration = 3.0
-    """Silence after which a member is declared dead; with spreading it stays under 5 s. Measured at
-    420 nodes with 4 s: deaths were known after 5.7 s in the median."""
+    """Time without news of a member, after which it is declared dead. Including the time to
+    spread the news, detection stays under 5 s. With 4 s, measured at 420 nodes, the median time
+    until a death was known was 5.7 s."""
     weights_poll: Duration = 0.5
-    """How often a weight coordinator looks for new versions and at its samplers."""
+    """Interval at which a weight coordinator polls for new versions and polls its samplers."""
     configuration_term: Duration = 2.5
     """How long a node may serve under a revision after a majority was known to hold it."""
     longest_stall: Duration = 0.5
-    """A process that stood still for longer renews its view before it sends anything new: well
-    under the 2 s in which a back end may leave."""
+    """A process that stalled for longer renews its view before it sends anything new. The value is
+    well under the 2 s within which a back end may leave."""
     clock_margin: Duration = 0.1
-    """A holder gives up this much earlier than its term, for bounded drift of clock rates."""
+    """A holder gives up a lease this long before its term ends, to allow for bounded drift of clock
+    rates."""
     peer_timeout: Duration = 1.0
-    """A call to another node ends after this."""
+    """Time-out of a call to another node."""
     record_timeout: Duration = 0.7
-    """A replica that has not answered after this does not count for a round."""
+    """Time-out after which a replica that has not answered does not count in a quorum round."""
     watch_interval: Duration = 0.5
-    """How often a back end's load is read by its watchers."""
+    """Interval at which watchers read a back end's load."""
     duty_term: Duration = 6.0
-    """Term of leases in the key-value service; whole seconds there."""
+    """Term of leases in the key-value service, which takes whole seconds."""
     limit_term: Duration = 5.0
-    """Term of a node's share of a limit."""
+    """Lease term of a node's share of a limit."""
     record_retention: Duration = 600.0
-    """Records dated earlier are dropped, and their ids refused."""
+    """Age beyond which records are dropped and their ids are refused."""
     drain_timeout: Duration = 120.0
-    """How long a planned stop waits for running requests."""
+    """Longest time that a planned stop waits for running requests."""
     replica_move_delay: Duration = 1.5
-    """How long a slot keeps a replica set that is not the best before it is moved."""
+    """How long a slot keeps a replica set that is not the preferred one before it is moved."""
 
 
 class NodeSettings(_Concern):
-    """Everything a node learns from outside the configuration."""
+    """Everything that a node is told outside the cluster's configuration."""
 
     name: Name
     region: Name
@@ -88,30 +94,32 @@
     caller_port: int = Field(default=7080, ge=0, le=65535)
     peer_port: int = Field(default=7081, ge=0, le=65535)
     advertise_peer: Address | None = None
-    """host:port under which peers reach this node; default: where it listens."""
+    """host:port at which peers reach this node; None for the address on which it listens."""
     bind_outgoing: str | None = None
-    """Local address for connections to peers, on machines that have several."""
+    """Local address for connections to peers, on machines with several addresses."""
     key_value: list[Address] = Field(min_length=1)
     machine_list: Address | None = None
-    """host:port of the platform's list of machines."""
+    """host:port of the platform's machine list."""
     seeds: list[Address] = []
-    """Peer addresses for first contact."""
+    """Addresses of peers that the node contacts first to join."""
     data_folder: Path | None = None
-    """The one folder for bulk data; None on machines without a disk."""
+    """Folder for all bulk data; None on machines without a disk."""
     record_slots: int = Field(default=16, ge=1, le=4096)
-    """Slots of the region's records; must be the same on all nodes."""
+    """Number of slots that the region's records are divided into; must be equal on all nodes."""
     max_requests: int = Field(default=512, ge=1)
-    """Requests handled at a time; further ones are shed at once."""
+    """Requests handled concurrently; further ones are refused at once."""
     log_level: str = "info"
     timing: TimingSettings = TimingSettings()
     tls: TlsSettings = TlsSettings()
 
 
 def load_settings(file: Path | None, overrides: dict[str, Any]) -> NodeSettings:
-    """Read the file, apply the flags, check everything.
+    """Read the file, apply the flags and validate the result.
+
+    Raises
+    ======
 
-    Raises:
-        InvalidConfiguration: with one FieldError for each thing wrong.
+    InvalidConfiguration : with one FieldError for each invalid field.
     """
     text = ""
     content: dict[str, Any] = {}
@@ -132,7 +140,13 @@
 
 
 def read_toml(file: Path) -> tuple[str, dict[str, Any]]:
-    """Text and content of a TOML file; raises InvalidConfiguration with the line."""
+    """Return the text and the parsed content of a TOML file.
+
+    Raises
+    ======
+
+    InvalidConfiguration : the file is not readable or not TOML; names the line of a syntax error.
+    """
     try:
         text = file.read_text(encoding="utf-8")
         return text, tomllib.loads(text)
