--- a/src/crankseam/story.py
+++ b/src/crankseam/story.py
@@ -1,7 +1,7 @@
-"""Finds in log files what happened to one id, and what its processes went through meanwhile.
+"""Extracts from log files the lines about one id, and the events around them that may explain them.
 
-Owns which fields name a subject and which events explain what a process did. Relies on the log
-lines of the users' platform (`serving/log_events`); a line that is none is passed over.
+Defines which fields identify a subject and which events explain what a process did. Reads the log
+lines of the users' platform (`serving/log_events`) and skips all other lines.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
         "configuration_taken",
     }
 )
-"""Events of a process that may explain what it did to a request."""
+"""Events of a process that may explain what the process did to a request."""
 BACK_END_EVENTS = frozenset(
     {
         "back_end_out",
@@ -39,27 +39,27 @@
         "order_failed",
     }
 )
-MARGIN_S = 2.0
-"""Lines of the same processes this long before and after those of the id are told too. Origin not
-recorded."""
+SURROUNDING_MARGIN_S = 2.0
+"""Seconds before the first and after the last line of the id, within which events of the processes
+and back ends involved are included."""
 
 Line = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """The lines about one id, and those around them, each in order of time."""
+class LogExtract:
+    """The log lines about one id and the events around them, each sorted by time."""
 
     subject: list[Line]
     surroundings: list[Line]
 
 
 def read_lines(files: Iterable[Path]) -> list[Line]:
-    """All JSON lines of the files, in order of time; anything before the first brace is skipped."""
+    """Read all log lines of the files, sorted by time; see `decode_line`."""
     lines: list[Line] = []
     for file in files:
-        with file.open("rb") as opened:
-            for raw in opened:
+        with file.open("rb") as stream:
+            for raw in stream:
                 line = decode_line(raw)
                 if line is not None:
                     lines.append(line)
@@ -67,14 +67,14 @@
 
 
 def decode_line(raw: bytes) -> Line | None:
-    """One line of a log; None if it is none. What stands before the first brace is skipped."""
+    """Decode one log line; None if it is not a log line. Text before the first brace is skipped."""
     start = raw.find(b"{")
     if start < 0:
         return None
     try:
         line = msgspec.json.decode(raw[start:])
     except msgspec.DecodeError:
-        return None  # not a line of a log: other programs write to the same file
+        return None  # other programs write to the same file
     return line if isinstance(line, dict) and "event" in line and "time" in line else None
 
 
@@ -85,35 +85,44 @@
     return isinstance(items, list) and subject in items
 
 
-def tell(lines: list[Line], subject: str) -> Story:
-    """What the lines say of a request, job, item, back end, model or machine."""
-    own = [line for line in lines if _is_about(line, subject)]
-    if not own:
-        return Story([], [])
-    jobs = {line["job"] for line in own if "job" in line}
-    own += [line for line in lines if line.get("job") in jobs and _concerns_job(line, own)]
-    own.sort(key=lambda line: float(line["time"]))
-    return Story(own, _surroundings(lines, own))
-
-
-def _concerns_job(line: Line, own: list[Line]) -> bool:
-    """Lines of the whole job, not those of its other items."""
-    return line not in own and "item" not in line and not line["event"].startswith("results_")
-
-
-def _surroundings(lines: list[Line], own: list[Line]) -> list[Line]:
-    start = float(own[0]["time"]) - MARGIN_S
-    end = float(own[-1]["time"]) + MARGIN_S
-    nodes = {line["node"] for line in own if "node" in line}
-    back_ends = {line["back_end"] for line in own if "back_end" in line}
-    for line in own:
+def tell(lines: list[Line], subject: str) -> LogExtract:
+    """Extract the lines about one request, job, item, back end, model or machine.
+
+    Includes the lines of the jobs that these lines name, except those of other items.
+    """
+    subject_lines = [line for line in lines if _is_about(line, subject)]
+    if not subject_lines:
+        return LogExtract([], [])
+    jobs = {line["job"] for line in subject_lines if "job" in line}
+    subject_lines += [
+        line for line in lines if line.get("job") in jobs and _is_line_of_job(line, subject_lines)
+    ]
+    subject_lines.sort(key=lambda line: float(line["time"]))
+    return LogExtract(subject_lines, _surroundings(lines, subject_lines))
+
+
+def _is_line_of_job(line: Line, subject_lines: list[Line]) -> bool:
+    """Whether a line outside `subject_lines` is about the whole job rather than about an item."""
+    return (
+        line not in subject_lines
+        and "item" not in line
+        and not line["event"].startswith("results_")
+    )
+
+
+def _surroundings(lines: list[Line], subject_lines: list[Line]) -> list[Line]:
+    start = float(subject_lines[0]["time"]) - SURROUNDING_MARGIN_S
+    end = float(subject_lines[-1]["time"]) + SURROUNDING_MARGIN_S
+    nodes = {line["node"] for line in subject_lines if "node" in line}
+    back_ends = {line["back_end"] for line in subject_lines if "back_end" in line}
+    for line in subject_lines:
         back_ends.update(line.get("attempts") or [])
     found = []
     for line in lines:
-        if line in own or not start <= float(line["time"]) <= end:
+        if line in subject_lines or not start <= float(line["time"]) <= end:
             continue
-        of_process = line["event"] in SURROUNDING_EVENTS and line.get("node") in nodes
-        of_back_end = line["event"] in BACK_END_EVENTS and line.get("back_end") in back_ends
-        if of_process or of_back_end:
+        explains_process = line["event"] in SURROUNDING_EVENTS and line.get("node") in nodes
+        explains_back_end = line["event"] in BACK_END_EVENTS and line.get("back_end") in back_ends
+        if explains_process or explains_back_end:
             found.append(line)
     return found
