--- a/src/crankseam/tasks.py
+++ b/src/crankseam/tasks.py
@@ -1,7 +1,7 @@
-"""Keeps a component's background tasks, restarts none silently, and stops them together.
+"""Runs the background tasks of a component, logs their failures, and cancels them together.
 
-Owns the tasks started through it. A failed one is logged and marks the owner as failed; what
-follows from that is up to `on_failure`.
+No task is restarted. A task that fails is logged and marks its owner as failed; the owner's
+`on_failure` decides what follows.
 """
 
 from __future__ import annotations
@@ -15,7 +15,14 @@
 
 
 class TaskGroupOwner:
-    """Holds references to tasks for as long as they run."""
+    """Owns background tasks and holds references to them while they run.
+
+    Attributes
+    ==========
+
+    failed : whether any task has ended with an exception.
+    on_failure : called after each such failure.
+    """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -23,7 +30,7 @@
         self.on_failure: Callable[[], None] = lambda: None
 
     def start(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Run `work` in the background; a failure is logged with its traceback."""
+        """Run `work` in the background; an exception is logged with its traceback."""
         task = asyncio.create_task(work, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._finished)
