--- a/src/crankseam/tls.py
+++ b/src/crankseam/tls.py
@@ -1,7 +1,7 @@
-"""TLS contexts for peers and callers, with keys reloaded when their files change.
+"""TLS contexts for peers and callers, with keys that are reloaded when their files change.
 
-Owns the contexts, which stay the same objects. Relies on the files of the settings; new keys that
-cannot be read leave the old ones in force and are logged.
+The context objects stay the same across reloads. If new keys cannot be read, the old ones stay in
+use and the error is logged.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class TlsKeys:
-    """Holds the contexts; new connections use reloaded keys, old ones go on."""
+    """Holds the TLS contexts; new connections use the reloaded keys, open ones are not affected."""
 
     def __init__(self, settings: TlsSettings) -> None:
         self._settings = settings
@@ -29,7 +29,7 @@
             self._peer_server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
             self._peer_server.verify_mode = ssl.CERT_REQUIRED
             self._peer_client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-            # Peers are reached by IP number and known by the authority that signed their key.
+            # Peers are addressed by IP and authenticated by the authority that signed their key.
             self._peer_client.check_hostname = False
             self._peer_client.verify_mode = ssl.CERT_REQUIRED
         if settings.callers_certificate is not None:
@@ -37,15 +37,15 @@
         self._load()
 
     def peer_server_context(self) -> ssl.SSLContext | None:
-        """For listening to peers; None is plain TCP."""
+        """Context for accepting connections from peers; None for plain TCP."""
         return self._peer_server
 
     def peer_client_context(self) -> ssl.SSLContext | None:
-        """For calling peers."""
+        """Context for connecting to peers; None for plain TCP."""
         return self._peer_client
 
     def callers_context(self) -> ssl.SSLContext | None:
-        """For listening to callers."""
+        """Context for accepting connections from callers; None for plain TCP."""
         return self._callers
 
     def _files(self) -> list[Path]:
@@ -75,7 +75,10 @@
         self._modified = {path: path.stat().st_mtime for path in self._files()}
 
     def reload_if_changed(self) -> bool:
-        """Load the keys again if a file changed; keep the old ones if the new ones are bad."""
+        """Reload the keys if a file changed; returns whether they were reloaded.
+
+        If the new keys cannot be loaded, the old ones stay in use and the error is logged.
+        """
         try:
             current = {path: path.stat().st_mtime for path in self._files()}
             if current == self._modified:
@@ -88,7 +91,7 @@
         return True
 
     async def watch_files(self) -> None:
-        """Look for changed files until cancelled."""
+        """Reload changed files periodically until cancelled."""
         if not self._files():
             return
         while True:
--- a/tests/tls/test_tls.py
+++ b/tests/tls/test_tls.py
@@ -1,4 +1,4 @@
-"""Keys between nodes and towards callers: wrong ones are refused, new ones need no restart."""
+"""TLS keys between nodes and to callers: unknown keys are refused, new keys need no restart."""
 
 import datetime
 import os
@@ -22,7 +22,7 @@
 
 
 class Authority:
-    """Signs certificates into a folder."""
+    """A certificate authority that writes its certificates and keys into a folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self._folder = folder
@@ -69,7 +69,7 @@
 
 
 @pytest.fixture
-def stranger(tmp_path):
+def other_authority(tmp_path):
     return Authority(tmp_path, "stranger")
 
 
@@ -102,8 +102,8 @@
     await client.close()
 
 
-async def test_a_node_with_a_strangers_key_is_refused(server, authority, stranger):
-    client = transport("client", keys(stranger, "client", authority))
+async def test_a_node_with_a_strangers_key_is_refused(server, authority, other_authority):
+    client = transport("client", keys(other_authority, "client", authority))
     with pytest.raises(PeerError):
         await client.call(server[2], Nudge(1), 2.0)
     plain = PeerTransport("plain", 1)
@@ -111,14 +111,14 @@
         await plain.call(server[2], Nudge(1), 2.0)
 
 
-async def test_keys_are_reloaded_without_a_restart(server, authority, stranger, tmp_path):
+async def test_keys_are_reloaded_without_a_restart(server, authority, other_authority, tmp_path):
     _, tls, address = server
-    certificate, key = stranger.sign("server")  # over the same files
-    authority.file.write_bytes(stranger.file.read_bytes())
+    certificate, key = other_authority.sign("server")  # overwrites the server's files
+    authority.file.write_bytes(other_authority.file.read_bytes())
     for file in (certificate, key, authority.file):
         os.utime(file, (1, 1))
     assert tls.reload_if_changed()
-    client = transport("client", keys(stranger, "client", stranger))
+    client = transport("client", keys(other_authority, "client", other_authority))
     assert isinstance(await client.call(address, Nudge(1), 5.0), Done)
     await client.close()
 
@@ -130,7 +130,7 @@
     assert tls.peer_server_context() is not None
 
 
-async def test_operators_paths_need_an_operators_key(authority, stranger):
+async def test_operators_paths_need_an_operators_key(authority, other_authority):
     platform = Platform()
     await platform.start(apps=1)
     await platform.apply(platform.documents())
@@ -155,6 +155,6 @@
     assert await status(authority) == 200
     assert await status(None) == 403
     with pytest.raises(aiohttp.ClientError):
-        await status(stranger)
+        await status(other_authority)
     await node.close()
     await platform.stop()
