--- a/src/crankseam/toml_lines.py
+++ b/src/crankseam/toml_lines.py
@@ -1,6 +1,6 @@
-"""Finds the line of a field in a TOML text, for errors that name it.
+"""Finds the line of a field in TOML text, for error messages that name the line.
 
-Owns nothing; the text need not be valid beyond what was read of it. Used for the settings of both
+The text only has to be valid up to the point where it was parsed. Used for the settings of both
 programs.
 """
 
@@ -10,7 +10,7 @@
 
 
 def line_of_toml_field(text: str, path: tuple[str | int, ...]) -> int:
-    """Line of a field: after its table's header, the line that assigns its name; 0 if not found."""
+    """Return the number of the line that assigns the field within its table; 0 if not found."""
     lines = text.splitlines()
     names = [str(step) for step in path if isinstance(step, str)]
     table = ".".join(names[:-1])
