--- a/src/crankseam/weights_cache.py
+++ b/src/crankseam/weights_cache.py
@@ -1,8 +1,8 @@
-"""Weights kept by nodes with a data folder, so that samplers need not all read from the store.
+"""Cache of weights on nodes with a data folder, so that not every sampler reads from the store.
 
-Owns the files below the data folder. Each version is read from the store once a node, whoever asks
-for it at the same time, and then served in ranges from the file. Losing the folder costs time,
-never correctness.
+All files below the data folder belong to the cache. A node reads each version from the store once,
+also for concurrent requests, and then serves ranges of it from the file. Losing the folder costs
+time and never affects correctness.
 """
 
 from __future__ import annotations
@@ -22,17 +22,16 @@
 log = logging.getLogger(__name__)
 
 CACHE_PATH = "/weights/{pool}/{version}"
-KEPT_VERSIONS = 3
-"""Of a pool, the newest: what is served, what is staged, and one to go back to. Origin not
-recorded."""
+RETAINED_VERSIONS = 3
+"""Newest versions kept per pool: the one served, the one being staged, and one for roll-back."""
 FETCH_ATTEMPTS = 5
-"""Tries for one version before the sampler is told to come back. Origin not recorded."""
+"""Attempts to read one version before the sampler is told to retry later."""
 FETCH_RETRY_BASE_S = 0.2
-"""Upper bound of the first pause between two tries. Origin not recorded."""
+"""Upper bound, in seconds, of the first pause between two attempts."""
 FETCH_RETRY_CAP_S = 5.0
-"""Upper bound of any such pause. Origin not recorded."""
+"""Upper bound, in seconds, of every such pause."""
 RETRY_AFTER_S = 5.0
-"""When a sampler is told to come back. Origin not recorded."""
+"""Seconds after which a sampler is told to retry."""
 
 
 class WeightsCache:
@@ -44,10 +43,10 @@
         self._folder = folder / "weights"
         self._store = WeightStoreClient(session)
         self._lease = lease
-        self._fetching: dict[tuple[str, int], asyncio.Lock] = {}
+        self._fetch_locks: dict[tuple[str, int], asyncio.Lock] = {}
 
     def add_routes(self, app: web.Application) -> None:
-        """Register the path."""
+        """Register the route under which weights are served."""
         app.router.add_get(CACHE_PATH, self._handle)
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
@@ -57,11 +56,11 @@
         if policy is None or not raw.isdecimal():
             raise NotFound(f"no weights of {pool}")
         file = await self._fetch(policy.store, pool, int(raw))
-        return web.FileResponse(file)  # answers ranges
+        return web.FileResponse(file)  # supports range requests
 
     async def _fetch(self, store: str, pool: str, version: int) -> Path:
         file = self._folder / pool / f"{version}.weights"
-        async with self._fetching.setdefault((pool, version), asyncio.Lock()):
+        async with self._fetch_locks.setdefault((pool, version), asyncio.Lock()):
             if not await asyncio.to_thread(file.exists):
                 await self._fetch_from_store(store, pool, version, file)
         return file
@@ -77,19 +76,23 @@
                 log.info("weights not read", extra={"pool": pool, "error": str(error)})
                 await asyncio.sleep(backoff.next_delay())
                 continue
-            await asyncio.to_thread(self._keep, partial, file)
+            await asyncio.to_thread(self._publish, partial, file)
             return
         raise Unavailable(f"weights {version} of {pool}", retry_after=RETRY_AFTER_S)
 
     @staticmethod
-    def _keep(partial: Path, file: Path) -> None:
-        """Rename what was written whole, so that a crash leaves no half file; drop old versions."""
+    def _publish(partial: Path, file: Path) -> None:
+        """Rename a complete download to its final name, and delete old versions.
+
+        Only complete downloads are renamed, so that a crash leaves no partial file under the final
+        name.
+        """
         partial.rename(file)
         kept = sorted(file.parent.glob("*.weights"), key=lambda path: int(path.stem))
-        for old in kept[:-KEPT_VERSIONS]:
+        for old in kept[:-RETAINED_VERSIONS]:
             old.unlink(missing_ok=True)
 
 
 def cache_source(caller_address: str, pool: str, version: int) -> str:
-    """URL from which a sampler loads a version through a caching node."""
+    """Return the URL from which a sampler loads a version through a caching node."""
     return f"http://{caller_address}{CACHE_PATH.format(pool=pool, version=version)}"
