--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Shared settings: Hypothesis runs the same examples each time."""
+"""Shared test set-up: a Hypothesis profile that runs the same examples each time."""
 
-import aiomisc  # noqa: F401 - looks at standard error when imported, before a test replaces it
+import aiomisc  # noqa: F401 - inspects standard error on import, before a test replaces it
 from hypothesis import HealthCheck, settings
 
 settings.register_profile(
--- a/tests/test_import_circles.py
+++ b/tests/test_import_circles.py
@@ -1,4 +1,4 @@
-"""No module imports itself by way of others, also not within a function."""
+"""No module takes part in an import cycle; imports inside functions count too."""
 
 import ast
 import graphlib
@@ -17,7 +17,7 @@
 
 
 def imported(file):
-    """Modules of this repository that a file imports."""
+    """Return the modules of this repository that a file imports."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -35,10 +35,10 @@
 
 
 def test_a_circle_would_be_noticed():
-    circle = {"a": {"b"}, "b": {"a"}}
+    cycle = {"a": {"b"}, "b": {"a"}}
     try:
-        graphlib.TopologicalSorter(circle).prepare()
+        graphlib.TopologicalSorter(cycle).prepare()
     except graphlib.CycleError as error:
         assert set(error.args[1]) == {"a", "b"}
     else:
-        raise AssertionError("not noticed")
+        raise AssertionError("the import cycle was not detected")
--- a/tests/test_import_rule.py
+++ b/tests/test_import_rule.py
@@ -1,4 +1,4 @@
-"""The serving package imports neither stand-ins nor experiments; stand-ins no experiments."""
+"""The serving package imports no stand-ins or experiments; stand-ins import no experiments."""
 
 import ast
 from pathlib import Path
