--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -1,4 +1,4 @@
-"""State machine over real nodes and stand-ins: faults as rules, promises as invariants."""
+"""Stateful test of real nodes and stand-ins: faults are rules, guarantees are invariants."""
 
 import asyncio
 import time
@@ -23,12 +23,12 @@
 
 
 def new_key() -> str:
-    """A caller's idempotency key, by the caller's own clock."""
-    stepped, time.time_ns = time.time_ns, REAL_TIME_NS
+    """Return an idempotency key dated by the caller's clock, which does not step."""
+    stepped_clock, time.time_ns = time.time_ns, REAL_TIME_NS
     try:
         return new_dated_id()
     finally:
-        time.time_ns = stepped
+        time.time_ns = stepped_clock
 
 
 class NodeMachine(RuleBasedStateMachine):
@@ -37,9 +37,9 @@
     @initialize()
     def begin(self):
         self.loop = asyncio.new_event_loop()
-        self.told: dict[str, list[tuple[str, str]]] = {}
-        self.answers_wrong: list[str] = []
-        self.highest: Counter[str] = Counter()
+        self.outcomes_by_key: dict[str, list[tuple[str, str]]] = {}
+        self.wrong_answers: list[str] = []
+        self.highest_revisions: Counter[str] = Counter()
         self.accepted = 1
         self.run(self._begin())
 
@@ -86,22 +86,22 @@
                 else:
                     outcome = "answered"
                     if content.decode() != expected_answer(key, BODY):
-                        self.answers_wrong.append(key)
+                        self.wrong_answers.append(key)
         except aiohttp.ClientConnectorError:
             outcome = "no_connection"
         except aiohttp.ClientError:
             outcome = "broken"
-        self.told.setdefault(key, []).append((request_id, outcome))
+        self.outcomes_by_key.setdefault(key, []).append((request_id, outcome))
         if outcome == "not_run":
-            # At this moment it must not have run; a later attempt of the key may.
+            # The attempt must not have run by now; a later attempt with the same key may run.
             runs = [
                 line
                 for account in self.platform.accounts.values()
                 for line in account.lines
                 if line["request"] == request_id
             ]
-            assert not runs, f"{key}: not run, but it ran"
-            assert key not in self.platform.ran(), f"{key}: told not run after it ran"
+            assert not runs, f"{key}: answered not_run, but this attempt ran"
+            assert key not in self.platform.ran(), f"{key}: answered not_run after the request ran"
 
     @rule(count=st.integers(1, 5), spread=st.integers(0, 2))
     def book(self, count, spread):
@@ -115,13 +115,13 @@
 
         self.run(work())
 
-    @precondition(lambda self: self.told)
+    @precondition(lambda self: self.outcomes_by_key)
     @rule(choice=st.integers(0, 1000), same_attempt=st.booleans(), everywhere=st.booleans())
     def repeat(self, choice, same_attempt, everywhere):
         async def work():
-            keys = sorted(self.told)
+            keys = sorted(self.outcomes_by_key)
             key = keys[choice % len(keys)]
-            request_id = self.told[key][-1][0] if same_attempt else str(uuid.uuid4())
+            request_id = self.outcomes_by_key[key][-1][0] if same_attempt else str(uuid.uuid4())
             nodes = sorted(self.cluster.nodes)
             chosen = nodes if everywhere else [nodes[choice % len(nodes)]]
             await asyncio.gather(*(self._book(key, node, request_id) for node in chosen))
@@ -138,7 +138,8 @@
             await self.cluster.kill(index)
             await self._book(new_key(), sorted(self.cluster.nodes)[0], str(uuid.uuid4()))
             await self.cluster.start_node(index)
-            self.highest[f"node-{index}"] = 0  # another run; it may not serve below `accepted`
+            # The new process must not serve a revision below `accepted`.
+            self.highest_revisions[f"node-{index}"] = 0
 
         self.run(work())
 
@@ -150,7 +151,9 @@
             await asyncio.sleep(0)
             await self.cluster.nodes.pop(index).stop_gracefully()
             await running
-            assert self.told[key][-1][1] != "broken", "a planned stop cut a request off"
+            assert self.outcomes_by_key[key][-1][1] != "broken", (
+                "a planned stop broke a running request"
+            )
             await self.cluster.start_node(index)
 
         self.run(work())
@@ -180,7 +183,7 @@
 
     @rule(seconds=st.sampled_from([-7200, -30, 0, 30, 7200]))
     def step_the_nodes_clocks(self, seconds):
-        """Wall clocks of all nodes step; callers' do not. Records are swept by the new time."""
+        """Step the wall clocks of all nodes but not of callers; sweep records by the new time."""
         time.time_ns = lambda: REAL_TIME_NS() + seconds * 10**9
         for node in self.cluster.nodes.values():
             RetentionController(node.agent).sweep()
@@ -201,7 +204,7 @@
 
     @rule()
     def settle(self):
-        """With the platform back, every node comes to serve the newest accepted revision."""
+        """Once the platform is available again, every node serves the newest accepted revision."""
 
         async def work():
             self.platform.key_value.faults.down_until = 0.0
@@ -216,27 +219,27 @@
 
         self.run(work())
 
-    # --- promises
+    # --- guarantees
 
     @invariant()
     def promises_hold(self):
         if not hasattr(self, "loop"):
             return
-        twice = [key for key, count in Counter(self.platform.ran()).items() if count > 1]
-        assert not twice, f"ran twice: {twice}"
-        assert not self.answers_wrong
+        ran_twice = [key for key, count in Counter(self.platform.ran()).items() if count > 1]
+        assert not ran_twice, f"ran twice: {ran_twice}"
+        assert not self.wrong_answers
         for node in self.cluster.nodes.values():
             if node.is_ready():
                 name = node.settings.name
                 revision = node.agent.lease.snapshot.revision
-                assert revision >= self.highest[name], f"{name} went back to {revision}"
-                self.highest[name] = revision
+                assert revision >= self.highest_revisions[name], f"{name} went back to {revision}"
+                self.highest_revisions[name] = revision
 
 
 NodeMachine.TestCase.settings = settings(
     max_examples=20,
     stateful_step_count=14,
-    # Each step is seconds of real nodes at work: a failing run is printed, not shrunk.
+    # Each step takes seconds with real nodes, so a failing run is printed and not shrunk.
     phases=[Phase.explicit, Phase.generate],
 )
 TestNodeMachine = NodeMachine.TestCase
