--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -117,7 +117,7 @@
 
 
 def test_where_none_is_eligible_all_refusals_are_told(harness):
-    choice = harness.choose(excluded=frozenset(back_end.name for back_end in BACK_ENDS))
+    choice = harness.choose(excluded=frozenset(candidate.name for candidate in BACK_ENDS))
     assert choice.back_end is None
     assert {candidate.refused for candidate in choice.candidates} == {
         "already tried for this request"
