--- a/src/crankseam/story.py
+++ b/src/crankseam/story.py
@@ -88,7 +88,7 @@
 def tell(lines: list[Line], subject: str) -> LogExtract:
     """Extract the lines about one request, job, item, back end, model or machine.
 
-    Includes the lines of the jobs that these lines name, except those of other items.
+    Includes the lines about the whole of each job that these lines name, but not about other items.
     """
     subject_lines = [line for line in lines if _is_about(line, subject)]
     if not subject_lines:
@@ -102,7 +102,7 @@
 
 
 def _is_line_of_job(line: Line, subject_lines: list[Line]) -> bool:
-    """Whether a line outside `subject_lines` is about the whole job rather than about an item."""
+    """Whether a line outside `subject_lines` is about the whole job, not an item or its results."""
     return (
         line not in subject_lines
         and "item" not in line
