--- a/src/crankseam/decisions.py
+++ b/src/crankseam/decisions.py
@@ -30,7 +30,7 @@
 BATCH_INTERVAL_S = 0.2
 """Seconds between two batches to the nodes that keep copies."""
 REMOTE_COPIES = 2
-"""Other nodes that keep a copy; together with the deciding node, as many as a record has replicas."""
+"""Other nodes that keep a copy; with the deciding node, as many as a record has replicas."""
 MAX_BATCH = 500
 """Most decisions in one message, which keeps it far below `MAX_FRAME_BYTES`."""
 
