--- a/src/crankseam/usage/__init__.py
+++ b/src/crankseam/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage: how many requests of each tenant began in each window of time, reported once a window."""
+"""Usage reports: the number of requests of each tenant that began in each window of time."""
--- a/src/crankseam/usage/messages.py
+++ b/src/crankseam/usage/messages.py
@@ -1,7 +1,7 @@
-"""Counts of usage as processes send them to the holder of the duty, and who takes its reports.
+"""Usage messages that processes send to the holder of the usage duty, and the sink for reports.
 
-The counts travel between processes by their field names, which stay. `UsageSink` is free of any
-wire: an adapter implements it by the calls of its platform.
+The field names of the messages are part of the wire format and must not change. `UsageSink` does
+not depend on a wire format: an adapter implements it with the API calls of its platform.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 import msgspec
 
 TenantCounts = dict[str, int]
-"""Requests that began, by tenant."""
+"""Number of requests that began, by tenant."""
 
 
 class UsageCounts(msgspec.Struct, frozen=True):
-    """All that a process counted in windows that are not settled, as far as it knows.
+    """Cumulative counts of one process for all windows that it does not know to be settled.
 
-    Counts only grow, so it does no harm to send the same ones twice or in another order.
+    Counts only grow, so messages may be repeated or arrive out of order.
 
     Attributes
     ==========
 
-    source : one life of one process.
-    windows : counts by window.
+    source : identifies the process and its current run; a restarted process has a new source.
+    windows : counts by window and tenant.
     """
 
     source: str
@@ -31,13 +31,13 @@
 
 
 class UsageReceipt(msgspec.Struct, frozen=True):
-    """What the asked process made of them.
+    """Response to `UsageCounts`.
 
     Attributes
     ==========
 
-    is_taken : whether it holds the duty and took them.
-    next_window : all windows before this one are settled.
+    is_taken : whether the receiver holds the usage duty and has accepted the counts.
+    next_window : first window that is not settled; all earlier windows are settled.
     """
 
     is_taken: bool = False
@@ -45,17 +45,18 @@
 
 
 class UsageSink(Protocol):
-    """Takes the reports."""
+    """Destination of usage reports."""
 
     async def report_usage(
         self, window: int, counts: TenantCounts, holder: str, fence: int
     ) -> None:
-        """Report one window; the same report may be repeated.
+        """Report the counts of one window; the call may be repeated with the same counts.
 
         Raises
         ======
 
-        DutyFenced : a newer holder has acted.
-        DutyRefused : nothing was done.
-        DutyUnanswered : it may have been taken, or may be seconds later.
+        DutyFenced : the sink has already accepted a call with a higher fencing token.
+        DutyRefused : the report was rejected and has had no effect.
+        DutyUnanswered : no answer came; the report may have taken effect, or may do so seconds
+            later.
         """
