--- a/src/crankseam/usage/clock.py
+++ b/src/crankseam/usage/clock.py
@@ -74,7 +74,7 @@
         """The window that holds this moment."""
         return self.window_of(self._steady())
 
-    def since_end_of(self, window: int) -> float:
+    def seconds_since_end(self, window: int) -> float:
         """Seconds since a window ended; negative before that."""
         return self.now() - (window + 1) * self.window_s
 
--- a/src/crankseam/usage/reporter.py
+++ b/src/crankseam/usage/reporter.py
@@ -31,10 +31,10 @@
 from crankseam.usage.ledger import UsageLedger, decode_ledger, encode_ledger
 from crankseam.usage.messages import UsageCounts, UsageReceipt, UsageSink
 from crankseam.usage.settling import (
-    RESENT_AFTER_S,
+    RESEND_WAIT_S,
+    count_due_windows,
     first_unsettled,
-    save_pause_s,
-    windows_due,
+    save_interval_s,
 )
 
 log = logging.getLogger(__name__)
@@ -56,14 +56,15 @@
     Parameters
     ==========
 
-    duty : the right to report.
-    late_s : a report is due so many seconds after its window ended.
+    duty : the usage duty; only its holder settles and reports windows.
+    deadline_s : seconds after the end of a window within which its report is due.
 
     Attributes
     ==========
 
-    reported, reported_late : windows whose reports were taken, and those of them after `late_s`.
-    lost : requests that no report counts.
+    reported : number of windows whose reports were accepted.
+    reported_late : number of these that were accepted after `deadline_s`.
+    lost : number of requests that no report includes.
     """
 
     def __init__(
@@ -73,14 +74,14 @@
         clock: TrueClock,
         sink: UsageSink,
         process: str,
-        late_s: float,
+        deadline_s: float,
     ) -> None:
         self._store = store
         self._duty = duty
         self._clock = clock
         self._sink = sink
         self._process = process
-        self._late_s = late_s
+        self._deadline_s = deadline_s
         self._fence: int | None = None
         """The token under which the ledger was read; None while it has to be read."""
         self._settles_under = 0
@@ -169,13 +170,15 @@
         self._unsaved = True
         if fence != self._settles_under:
             self._settles_under = fence
-            self._settle_from = time.monotonic() + RESENT_AFTER_S
+            self._settle_from = time.monotonic() + RESEND_WAIT_S
         self._fence = fence
 
     def _decode(self, entry: Entry | None) -> UsageLedger:
         current = self._clock.current_window()
         first = UsageLedger(
-            first_unsettled(current, self._clock.since_end_of, self._late_s, self._early.open)
+            first_unsettled(
+                current, self._clock.seconds_since_end, self._deadline_s, self._early.open
+            )
         )
         if entry is None:
             return first
@@ -193,7 +196,7 @@
         """Write the ledger if a window is to be settled, or if counts waited for long enough."""
         ledger = self._ledger
         assert ledger is not None
-        due = self._windows_due(ledger)
+        due = self._count_due_windows(ledger)
         if not due and not (self._unsaved and time.monotonic() >= self._save_at):
             return
         written = decode_ledger(encode_ledger(ledger))
@@ -211,17 +214,19 @@
         if late:
             self._lose(late, "told while its window was settled")
         self._ledger = written
-        self._save_at = time.monotonic() + save_pause_s(len(value))
+        self._save_at = time.monotonic() + save_interval_s(len(value))
         if due:
             log.info(
                 "usage_settled",
                 extra={"next_window": written.next_window, "windows": due, "fence": fence},
             )
 
-    def _windows_due(self, ledger: UsageLedger) -> int:
+    def _count_due_windows(self, ledger: UsageLedger) -> int:
         if time.monotonic() < self._settle_from:
             return 0
-        return windows_due(ledger.next_window, self._clock.since_end_of, self._late_s)
+        return count_due_windows(
+            ledger.next_window, self._clock.seconds_since_end, self._deadline_s
+        )
 
     # --- reports
 
@@ -262,9 +267,9 @@
         )
 
     def _count_reported(self, window: int, counts: dict[str, int], fence: int) -> None:
-        age_s = self._clock.since_end_of(window)
+        age_s = self._clock.seconds_since_end(window)
         self.reported += 1
-        self.reported_late += age_s > self._late_s
+        self.reported_late += age_s > self._deadline_s
         log.info(
             "usage_reported",
             extra={
--- a/src/crankseam/usage/settling.py
+++ b/src/crankseam/usage/settling.py
@@ -1,62 +1,69 @@
-"""When does a window's count become final, and when is the ledger saved?
-
-Inputs: seconds since a window ended, by the corrected time of day; seconds within which a report is
-due; bytes of the ledger.
-Rule: a window is settled once a share of the time in which its report is due has passed since its
-end. The first holder ever begins with the first window that is not due to be settled, or with the
-oldest that others have sent counts of. The ledger is saved when a window is settled, and every so
-often in between, a large one less often.
-Protects: counts of requests that take long to answer come late, and the rest of the time is left
-for a holder that goes and calls that fail; the loss of all processes at once takes little.
-Shown by: `usage_settled`, `usage_lost`. Held by: tests/usage/test_settling.py, test_reporter.py.
+"""Rules for when the counts of a window become final and when the ledger is saved.
+
+Inputs: seconds since the end of a window by the corrected time of day, the report deadline in
+seconds after the end of a window, and the size of the ledger in bytes.
+Rule: a window is settled once a fixed fraction of the report deadline has passed since its end.
+When no readable ledger is stored, the holder starts with the first window that is not yet due for
+settlement, or with the oldest window for which processes have already sent counts, whichever is
+earlier. The ledger is saved when a window is settled and at intervals in between; the interval
+grows with the size of the ledger.
+Purpose: counts of requests with slow answers arrive late and are still included, and the rest of
+the deadline is left for a change of holder and for failed calls. If all processes are lost at
+once, only the counts since the last save are lost with them.
+Logged as: `usage_settled`, `usage_lost`.
+Tested by: tests/usage/test_settling.py and tests/usage/test_reporter.py.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-SETTLED_AFTER_SHARE = 0.35
-"""A window is settled after this share of the time in which its report is due. Origin of the
-figure not recorded."""
-RESENT_AFTER_S = 1.0
-"""A new holder settles nothing for so long: the others send it what the last one knew. Origin of
-the figure not recorded."""
-SAVED_EACH_S = 0.7
-"""What was counted is saved so often, so that the loss of all processes at once takes little.
-Origin of the figure not recorded."""
-SAVED_BYTES_PER_S = 30_000
-"""A large ledger is saved less often: each of 420 processes has 19,000 bytes a second for control,
-and only one of them saves. Origin of the figure not recorded."""
-
-SinceEnd = Callable[[int], float]
-"""Seconds since a window ended; negative before that."""
-
-
-def windows_due(next_window: int, since_end_of: SinceEnd, late_s: float) -> int:
-    """How many windows are to be settled now, from the first that is not settled on."""
+SETTLE_AFTER_FRACTION = 0.35
+"""Fraction of the report deadline after which a window is settled."""
+RESEND_WAIT_S = 1.0
+"""Time for which a new holder settles no window, while the other processes resend the counts that
+they had sent to the previous holder."""
+MIN_SAVE_INTERVAL_S = 0.7
+"""Shortest interval between two saves of new counts. It bounds the counts that are lost when all
+processes are lost at once."""
+MAX_SAVED_BYTES_PER_S = 30_000
+"""Highest average rate at which new counts are saved; a large ledger is saved less often. Each of
+420 processes has 19,000 bytes per second for control traffic, and only one of them saves."""
+
+SecondsSinceEnd = Callable[[int], float]
+"""Returns the seconds since the end of a window; negative before its end."""
+
+
+def count_due_windows(
+    next_window: int, seconds_since_end: SecondsSinceEnd, deadline_s: float
+) -> int:
+    """Return how many consecutive windows, starting at `next_window`, are due for settlement."""
     due = 0
-    while since_end_of(next_window + due) >= SETTLED_AFTER_SHARE * late_s:
+    while seconds_since_end(next_window + due) >= SETTLE_AFTER_FRACTION * deadline_s:
         due += 1
     return due
 
 
 def first_unsettled(
-    current: int, since_end_of: SinceEnd, late_s: float, counted: Iterable[int]
+    current_window: int,
+    seconds_since_end: SecondsSinceEnd,
+    deadline_s: float,
+    counted_windows: Iterable[int],
 ) -> int:
-    """The window with which the very first holder begins.
+    """Return the first window that a holder settles when no readable ledger is stored.
 
     Parameters
     ==========
 
-    current : the window that holds this moment.
-    counted : windows of which others have sent counts before.
+    current_window : the window that contains the current time.
+    counted_windows : windows for which processes have already sent counts.
     """
-    window = current
-    while since_end_of(window - 1) < SETTLED_AFTER_SHARE * late_s:
+    window = current_window
+    while seconds_since_end(window - 1) < SETTLE_AFTER_FRACTION * deadline_s:
         window -= 1
-    return min([window, *counted])
+    return min([window, *counted_windows])
 
 
-def save_pause_s(size_bytes: int) -> float:
-    """Seconds until a ledger that was written now is saved again."""
-    return max(SAVED_EACH_S, size_bytes / SAVED_BYTES_PER_S)
+def save_interval_s(size_bytes: int) -> float:
+    """Return the seconds from one save of a ledger of this size to the next."""
+    return max(MIN_SAVE_INTERVAL_S, size_bytes / MAX_SAVED_BYTES_PER_S)
--- a/tests/usage/test_clock.py
+++ b/tests/usage/test_clock.py
@@ -25,7 +25,7 @@
     clocks = Clocks()
     assert clocks.clock.current_window() == int(1_000_100.0 // 5)
     assert clocks.clock.window_of(99.0) == int(1_000_099.0 // 5)
-    assert clocks.clock.since_end_of(clocks.clock.current_window()) == -5.0
+    assert clocks.clock.seconds_since_end(clocks.clock.current_window()) == -5.0
 
 
 def test_drift_is_followed():
--- a/tests/usage/test_reporter.py
+++ b/tests/usage/test_reporter.py
@@ -14,7 +14,7 @@
 from tests.support.waiting import eventually
 
 WINDOW_S = 0.5
-LATE_S = 4.0
+DEADLINE_S = 4.0
 PAUSE_S = 0.2
 
 
@@ -53,7 +53,7 @@
         self.duty = Duty(store, self.state, self.lease, name, "usage", PAUSE_S, self.living)
         self.lease.relied_on.append(self.duty.is_holder)
         self.counter = UsageCounter(self.clock, name, self.duty.holder, self.ask)
-        self.reporter = UsageReporter(store, self.duty, self.clock, platform, name, LATE_S)
+        self.reporter = UsageReporter(store, self.duty, self.clock, platform, name, DEADLINE_S)
 
     def living(self):
         return list(self.processes)
--- a/tests/usage/test_settling.py
+++ b/tests/usage/test_settling.py
@@ -3,44 +3,49 @@
 from hypothesis import strategies as st
 
 from crankseam.usage.settling import (
-    SAVED_BYTES_PER_S,
-    SAVED_EACH_S,
-    SETTLED_AFTER_SHARE,
+    MAX_SAVED_BYTES_PER_S,
+    MIN_SAVE_INTERVAL_S,
+    SETTLE_AFTER_FRACTION,
+    count_due_windows,
     first_unsettled,
-    save_pause_s,
-    windows_due,
+    save_interval_s,
 )
 
 WINDOW_S = 5.0
-LATE_S = 20.0
-AFTER_S = SETTLED_AFTER_SHARE * LATE_S
+DEADLINE_S = 20.0
+SETTLE_AFTER_S = SETTLE_AFTER_FRACTION * DEADLINE_S
 
 
-def since_end_at(now):
+def seconds_since_end_at(now):
     return lambda window: now - (window + 1) * WINDOW_S
 
 
 @pytest.mark.parametrize(
     ("now", "due"),
-    [(0.0, 0), (5.0 + AFTER_S - 0.01, 0), (5.0 + AFTER_S, 1), (10.0 + AFTER_S, 2)],
+    [
+        (0.0, 0),
+        (5.0 + SETTLE_AFTER_S - 0.01, 0),
+        (5.0 + SETTLE_AFTER_S, 1),
+        (10.0 + SETTLE_AFTER_S, 2),
+    ],
 )
 def test_a_window_is_due_a_share_of_the_time_after_its_end(now, due):
-    assert windows_due(0, since_end_at(now), LATE_S) == due
+    assert count_due_windows(0, seconds_since_end_at(now), DEADLINE_S) == due
 
 
 @given(st.floats(0.0, 1e4))
 def test_the_first_holder_begins_with_a_window_that_is_not_due(now):
-    since_end_of = since_end_at(now)
+    seconds_since_end = seconds_since_end_at(now)
     current = int(now // WINDOW_S)
-    first = first_unsettled(current, since_end_of, LATE_S, [])
-    assert windows_due(first, since_end_of, LATE_S) == 0
-    assert since_end_of(first - 1) >= AFTER_S, "all before are due"
+    first = first_unsettled(current, seconds_since_end, DEADLINE_S, [])
+    assert count_due_windows(first, seconds_since_end, DEADLINE_S) == 0
+    assert seconds_since_end(first - 1) >= SETTLE_AFTER_S, "all before are due"
 
 
 def test_the_first_holder_begins_with_what_others_counted_before():
-    assert first_unsettled(100, since_end_at(500.0), LATE_S, [95, 90]) == 90
+    assert first_unsettled(100, seconds_since_end_at(500.0), DEADLINE_S, [95, 90]) == 90
 
 
 def test_a_large_ledger_is_saved_less_often():
-    assert save_pause_s(100) == SAVED_EACH_S
-    assert save_pause_s(10 * SAVED_BYTES_PER_S) == 10.0
+    assert save_interval_s(100) == MIN_SAVE_INTERVAL_S
+    assert save_interval_s(10 * MAX_SAVED_BYTES_PER_S) == 10.0
