--- a/src/crankseam/usage/clock.py
+++ b/src/crankseam/usage/clock.py
@@ -1,11 +1,13 @@
-"""Which window of usage is it, when the machine's time of day jumps?
-
-Inputs: the machine's time of day, and the clock that counts suspended time, both in seconds.
-Rule: the offset between the two follows small differences. A jump is not followed, unless the new
-time stays for a long while.
-Protects: requests are counted in the window in which they began, also while a clock is set wrong by
-seconds and back again.
-Shown by: `clock_jumped`, `clock_believed`. Held by: tests/usage/test_clock.py.
+"""Assignment of times to usage windows that is robust against jumps of the machine's time of day.
+
+Inputs: the machine's time of day and a monotonic clock that also counts suspended time, both in
+seconds.
+Rule: the offset between the two clocks follows gradual drift. It follows a jump of the time of day
+only if the new time persists for `JUMP_ACCEPTED_AFTER_S`.
+Purpose: requests are counted in the window in which they began, even while the time of day is
+temporarily wrong by several seconds.
+Logged as: `clock_jumped`, `clock_believed`.
+Tested by: tests/usage/test_clock.py.
 """
 
 from __future__ import annotations
@@ -20,82 +22,86 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 1.0
-"""The clocks are compared so often; origin not recorded."""
-JUMP_S = 0.25
-"""A clock that moves this much against the steady one within a second is set, not drifting: a
-quartz drifts by 0.1 ms a second."""
-BELIEVED_AFTER_S = 60.0
-"""A new time of day that stays for so long is the true one: it was the old one that was wrong.
-Origin of the figure not recorded."""
+COMPARE_INTERVAL_S = 1.0
+"""Interval between two comparisons of the clocks."""
+JUMP_THRESHOLD_S = 0.25
+"""A difference of at least this much between two comparisons means that the time of day was set:
+the drift of a quartz clock is only about 0.1 ms per second."""
+JUMP_ACCEPTED_AFTER_S = 60.0
+"""A changed time of day that persists for this long is accepted as correct; the previous time is
+then assumed to have been wrong."""
 
 
 class TrueClock:
-    """The time of day by the steady clock, corrected as the machine's clock drifts.
+    """Time of day derived from a monotonic clock and corrected for drift.
 
     Explanation
     ===========
 
-    A clock that jumps by seconds comes back after a while. Meanwhile the offset between the steady
-    clock and the time of day stays what it was before the jump.
+    A time of day that jumps by seconds is usually set back after a while. Until then, the offset
+    between the monotonic clock and the time of day keeps its value from before the jump.
 
     Parameters
     ==========
 
-    window_s : length of a window; window k begins k times this after the start of 1970.
-    wall, steady : for tests.
+    window_s : length of a window in seconds; window k begins at Unix time `k * window_s`.
+    wall, monotonic : clocks, which tests replace.
     """
 
     def __init__(
         self,
         window_s: float,
         wall: Callable[[], float] = time.time,
-        steady: Callable[[], float] = clocks.promised_s,
+        monotonic: Callable[[], float] = clocks.promised_s,
     ) -> None:
         self.window_s = window_s
         self._wall = wall
-        self._steady = steady
-        self._offset_s = wall() - steady()
+        self._monotonic = monotonic
+        self._offset_s = wall() - monotonic()
         self._jumped_at: float | None = None
 
-    def time_of(self, steady_time: float) -> float:
-        """Seconds since the start of 1970 at a time of the steady clock."""
-        return steady_time + self._offset_s
+    def time_of(self, monotonic_time: float) -> float:
+        """Return the Unix time that corresponds to a time of the monotonic clock."""
+        return monotonic_time + self._offset_s
 
     def now(self) -> float:
-        """Seconds since the start of 1970."""
-        return self.time_of(self._steady())
+        """Return the current Unix time."""
+        return self.time_of(self._monotonic())
 
-    def window_of(self, steady_time: float) -> int:
-        """The window that holds a time of the steady clock."""
-        return math.floor(self.time_of(steady_time) / self.window_s)
+    def window_of(self, monotonic_time: float) -> int:
+        """Return the window that contains a time of the monotonic clock."""
+        return math.floor(self.time_of(monotonic_time) / self.window_s)
 
     def current_window(self) -> int:
-        """The window that holds this moment."""
-        return self.window_of(self._steady())
+        """Return the window that contains the current time."""
+        return self.window_of(self._monotonic())
 
     def seconds_since_end(self, window: int) -> float:
-        """Seconds since a window ended; negative before that."""
+        """Return the seconds since the end of a window; negative before its end."""
         return self.now() - (window + 1) * self.window_s
 
-    def look(self) -> None:
-        """Compare the two clocks. Must be called about each second."""
-        steady = self._steady()
-        seen_s = self._wall() - steady
-        if abs(seen_s - self._offset_s) < JUMP_S:
-            self._offset_s = seen_s
+    def update_offset(self) -> None:
+        """Compare the clocks and update the offset; must be called about once per second."""
+        monotonic = self._monotonic()
+        measured_offset_s = self._wall() - monotonic
+        if abs(measured_offset_s - self._offset_s) < JUMP_THRESHOLD_S:
+            self._offset_s = measured_offset_s
             self._jumped_at = None
             return
         if self._jumped_at is None:
-            self._jumped_at = steady
-            log.warning("clock_jumped", extra={"by_s": round(seen_s - self._offset_s, 3)})
-        elif steady - self._jumped_at >= BELIEVED_AFTER_S:
-            log.warning("clock_believed", extra={"by_s": round(seen_s - self._offset_s, 3)})
-            self._offset_s = seen_s
+            self._jumped_at = monotonic
+            log.warning(
+                "clock_jumped", extra={"by_s": round(measured_offset_s - self._offset_s, 3)}
+            )
+        elif monotonic - self._jumped_at >= JUMP_ACCEPTED_AFTER_S:
+            log.warning(
+                "clock_believed", extra={"by_s": round(measured_offset_s - self._offset_s, 3)}
+            )
+            self._offset_s = measured_offset_s
             self._jumped_at = None
 
     async def run(self) -> None:
-        """Compare the clocks until cancelled."""
+        """Compare the clocks at regular intervals until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_S)
+            self.update_offset()
+            await asyncio.sleep(COMPARE_INTERVAL_S)
--- a/tests/usage/test_clock.py
+++ b/tests/usage/test_clock.py
@@ -1,24 +1,24 @@
-from crankseam.usage.clock import BELIEVED_AFTER_S, TrueClock
+from crankseam.usage.clock import JUMP_ACCEPTED_AFTER_S, TrueClock
 
 
 class Clocks:
-    """A machine's two clocks; `offset_s` is the time of day less the steady time."""
+    """Both clocks of a machine; `offset_s` is the time of day minus the monotonic time."""
 
     def __init__(self):
-        self.steady_s = 100.0
+        self.monotonic_s = 100.0
         self.offset_s = 1_000_000.0
-        self.clock = TrueClock(5.0, self.wall, self.steady)
+        self.clock = TrueClock(5.0, self.wall, self.monotonic)
 
     def wall(self):
-        return self.steady_s + self.offset_s
+        return self.monotonic_s + self.offset_s
 
-    def steady(self):
-        return self.steady_s
+    def monotonic(self):
+        return self.monotonic_s
 
-    def pass_s(self, seconds):
+    def advance(self, seconds):
         for _ in range(int(seconds)):
-            self.steady_s += 1.0
-            self.clock.look()
+            self.monotonic_s += 1.0
+            self.clock.update_offset()
 
 
 def test_windows_follow_the_time_of_day():
@@ -32,7 +32,7 @@
     clocks = Clocks()
     for _ in range(30):
         clocks.offset_s += 0.05
-        clocks.pass_s(1)
+        clocks.advance(1)
     assert clocks.clock.now() == clocks.wall()
 
 
@@ -40,15 +40,15 @@
     for jump_s in (-7.0, 7.0):
         clocks = Clocks()
         clocks.offset_s += jump_s
-        clocks.pass_s(BELIEVED_AFTER_S - 2)
-        assert clocks.clock.now() == clocks.steady_s + 1_000_000.0
+        clocks.advance(JUMP_ACCEPTED_AFTER_S - 2)
+        assert clocks.clock.now() == clocks.monotonic_s + 1_000_000.0
         clocks.offset_s -= jump_s
-        clocks.pass_s(BELIEVED_AFTER_S)
+        clocks.advance(JUMP_ACCEPTED_AFTER_S)
         assert clocks.clock.now() == clocks.wall()
 
 
 def test_a_time_of_day_that_stays_is_believed():
     clocks = Clocks()
     clocks.offset_s += 7.0
-    clocks.pass_s(BELIEVED_AFTER_S + 2)
+    clocks.advance(JUMP_ACCEPTED_AFTER_S + 2)
     assert clocks.clock.now() == clocks.wall()
