--- a/src/crankseam/usage/ledger.py
+++ b/src/crankseam/usage/ledger.py
@@ -1,7 +1,8 @@
-"""What the holder of the usage duty keeps of the windows that are not reported yet.
+"""Ledger in which the holder of the usage duty keeps the counts of unreported windows.
 
-Owns how counts of many processes become one report: sent twice or in another order they make the
-same. Kept in the store; the field names are part of its bytes and stay.
+The ledger merges the counts of many processes into one report per window. The result does not
+depend on the order in which counts arrive or on repeated messages. The ledger is kept in the
+coordination store; its field names are part of the stored format and must not change.
 """
 
 from __future__ import annotations
@@ -12,40 +13,40 @@
 
 from crankseam.usage.messages import TenantCounts, UsageCounts
 
-REPORTED_KEPT = 4
-"""Reported windows that are remembered: whoever counted has heard by then that they are settled.
-Origin of the figure not recorded."""
+MAX_REPORTED_WINDOWS = 4
+"""Number of reported windows that the ledger keeps, to detect counts that arrive too late. By the
+time a window is dropped, the processes that sent counts for it know that it is settled."""
 
 
 class UsageLedger(msgspec.Struct):
-    """Counts of open windows by source, and the reports of settled ones.
+    """Counts of open windows by source, and final counts of settled windows.
 
     Explanation
     ===========
 
-    A window is settled once: from then on its counts never change, so that whoever reports it
-    reports the same. What comes later is lost.
+    A window is settled once, and its counts never change afterwards, so every holder that reports
+    it reports the same counts. Requests whose counts arrive later are not reported.
 
     Attributes
     ==========
 
     next_window : the first window that is not settled.
-    open : counts by window, source and tenant.
-    settled : what is to be reported, by window.
-    reported : the last windows that were, to tell what comes too late.
+    open : counts of windows that are not settled, by window, source and tenant.
+    settled : final counts of windows that are not reported yet, by window and tenant.
+    reported : final counts of the most recently reported windows, used to detect late requests.
 
     Examples
     ========
 
     >>> ledger = UsageLedger(7)
-    >>> ledger.take(UsageCounts("p/1", {7: {"a": 1}}))
+    >>> ledger.merge_counts(UsageCounts("p/1", {7: {"a": 1}}))
     0
-    >>> ledger.take(UsageCounts("p/1", {7: {"a": 2}}))
+    >>> ledger.merge_counts(UsageCounts("p/1", {7: {"a": 2}}))
     0
     >>> ledger.settle_next()
     >>> ledger.settled
     {7: {'a': 2}}
-    >>> ledger.take(UsageCounts("p/1", {7: {"a": 3}}))
+    >>> ledger.merge_counts(UsageCounts("p/1", {7: {"a": 3}}))
     1
     """
 
@@ -54,27 +55,33 @@
     settled: dict[int, TenantCounts] = {}
     reported: dict[int, TenantCounts] = {}
 
-    def take(self, sent: UsageCounts) -> int:
-        """Take what a process counted; how many requests came too late to be reported."""
+    def merge_counts(self, sent: UsageCounts) -> int:
+        """Merge the counts of one process; return the number of requests that arrived too late.
+
+        Counts are cumulative, so the larger of the known and the received count is kept.
+        """
         late = 0
         for window, counts in sent.windows.items():
             if window < self.next_window:
-                late += self._missing(window, counts)
+                late += self._count_unreported(window, counts)
                 continue
             known = self.open.setdefault(window, {}).setdefault(sent.source, {})
             for tenant, count in counts.items():
                 known[tenant] = max(count, known.get(tenant, 0))
         return late
 
-    def _missing(self, window: int, counts: TenantCounts) -> int:
-        """So many of these are not in the window's report, if that is still known."""
+    def _count_unreported(self, window: int, counts: TenantCounts) -> int:
+        """Return how many requests the report of a settled window lacks.
+
+        Returns 0 if the ledger no longer keeps that report.
+        """
         settled = self.settled.get(window, self.reported.get(window))
         if settled is None:
             return 0
         return sum(max(0, count - settled.get(tenant, 0)) for tenant, count in counts.items())
 
     def settle_next(self) -> None:
-        """Settle the first open window."""
+        """Make the counts of `next_window` final and advance to the following window."""
         total: Counter[str] = Counter()
         for counts in self.open.pop(self.next_window, {}).values():
             total.update(counts)
@@ -82,33 +89,36 @@
         self.next_window += 1
 
     def mark_reported(self, window: int) -> None:
-        """The report of a window was taken."""
+        """Record that the report of a window was accepted."""
         self.reported[window] = self.settled.pop(window)
-        while len(self.reported) > REPORTED_KEPT:
+        while len(self.reported) > MAX_REPORTED_WINDOWS:
             del self.reported[min(self.reported)]
 
     def merge_open(self, other: UsageLedger) -> int:
-        """Take the counts that another copy of this ledger knows of open windows; see take."""
+        """Merge the open windows of another copy of this ledger; see `merge_counts`."""
         return sum(
-            self.take(UsageCounts(source, {window: counts}))
+            self.merge_counts(UsageCounts(source, {window: counts}))
             for window, sources in other.open.items()
             for source, counts in sources.items()
         )
 
     def skip_to(self, window: int) -> int:
-        """Give up the windows before this one; how many requests no report counts."""
-        given_up = [one for one in self.open if one < window]
+        """Advance `next_window` to `window` at least, and discard the open windows before `window`.
+
+        Returns the number of requests in the discarded windows, which no report includes.
+        """
+        discarded = [one for one in self.open if one < window]
         self.next_window = max(self.next_window, window)
         return sum(
-            sum(counts.values()) for one in given_up for counts in self.open.pop(one).values()
+            sum(counts.values()) for one in discarded for counts in self.open.pop(one).values()
         )
 
 
 def encode_ledger(ledger: UsageLedger) -> bytes:
-    """As the store keeps it."""
+    """Encode a ledger as MessagePack for the coordination store."""
     return msgspec.msgpack.encode(ledger)
 
 
 def decode_ledger(value: bytes) -> UsageLedger:
-    """Raises msgspec.DecodeError."""
+    """Decode a stored ledger; raises msgspec.DecodeError if the value is malformed."""
     return msgspec.msgpack.decode(value, type=UsageLedger)
--- a/src/crankseam/usage/reporter.py
+++ b/src/crankseam/usage/reporter.py
@@ -111,9 +111,9 @@
         if not self._duty.is_holder():
             return UsageReceipt()
         if self._ledger is None:
-            self._early.take(counts)
+            self._early.merge_counts(counts)
             return UsageReceipt(True)
-        late = self._ledger.take(counts)
+        late = self._ledger.merge_counts(counts)
         if late:
             self._lose(late, "told after its window was settled")
         self._unsaved = True
