--- a/src/crankseam/usage/counter.py
+++ b/src/crankseam/usage/counter.py
@@ -1,9 +1,9 @@
-"""What this process counted, and how it reaches the holder of the usage duty.
+"""Counts the requests of this process and sends the counts to the holder of the usage duty.
 
-Owns this process's counts of windows that are not settled. It sends them to the holder moments
-after it counted, not when a window ends: so a process that is killed takes little with it. It keeps
-what it sent until the holder says that the window is settled, and sends all of it again to the next
-holder: so a holder that is killed takes nothing with it.
+The counter owns this process's counts for windows that are not settled. It sends new counts within
+moments rather than at the end of a window, so that few requests are lost if this process is killed.
+It keeps sent counts until the holder confirms that their window is settled, and sends all of them
+to each new holder, so that no counts are lost if a holder is killed.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 log = logging.getLogger(__name__)
 
-GATHER_S = 0.2
-"""Requests that begin within so long are sent together; origin not recorded."""
-ANSWER_S = 1.0
-"""The holder takes counts within this, or they are sent again; origin not recorded."""
+BATCH_INTERVAL_S = 0.2
+"""Shortest interval between two messages; requests that begin within it are sent together. Also
+the interval at which an idle counter checks for a new holder."""
+SEND_TIMEOUT_S = 1.0
+"""Time within which the holder must answer; otherwise the counts are sent again."""
 RETRY_BASE_S = 0.2
-"""Longest pause after a first failure, beside GATHER_S; it doubles with each further one. Origin
-not recorded."""
+"""Upper bound of the random delay after the first failure, in addition to `BATCH_INTERVAL_S`; it
+doubles with each further failure."""
 RETRY_CAP_S = 1.0
-"""The most to which the pause grows; origin not recorded."""
-MOST_WINDOWS = 24
-"""Windows that are kept while nobody settles them: at 5 s each, two minutes. Origin of the figure
-not recorded."""
+"""Limit to which the upper bound of the delay grows."""
+MAX_WINDOWS = 24
+"""Number of windows that are kept while no holder settles them: two minutes of 5 s windows."""
 
 
 class UsageCounter:
@@ -43,10 +43,10 @@
     Parameters
     ==========
 
-    process : this process's name.
-    find_holder : the process that is known to hold the duty, and its token: one that won it anew
-        may have lost what it was sent.
-    ask : sends bytes to another process.
+    process : name of this process.
+    find_holder : returns the process that is known to hold the duty and its fencing token, or None.
+        A process that won the duty again under a new token may have lost the counts sent to it.
+    ask : sends a message to a process and returns its answer.
     """
 
     def __init__(
@@ -61,77 +61,80 @@
         self._ask = ask
         self._source = f"{process}/{secrets.token_hex(4)}"
         self._windows: dict[int, TenantCounts] = {}
-        self._changed = asyncio.Event()
-        self._sent_to: tuple[str, int] | None = None
-        """Who took all counts last."""
+        self._has_unsent = asyncio.Event()
+        self._last_receiver: tuple[str, int] | None = None
+        """Process and token of the holder that last accepted all counts."""
 
     def count(self, tenant: str, began_at: float) -> None:
-        """A request of a tenant began to run at this time of the steady clock."""
+        """Count a request of a tenant that began to run at this time of the monotonic clock.
+
+        Requests without a tenant are not counted.
+        """
         if not tenant:
             return
         counts = self._windows.setdefault(self._clock.window_of(began_at), {})
         counts[tenant] = counts.get(tenant, 0) + 1
-        self._changed.set()
-        while len(self._windows) > MOST_WINDOWS:
-            self._drop(min(self._windows))
+        self._has_unsent.set()
+        while len(self._windows) > MAX_WINDOWS:
+            self._drop_window(min(self._windows))
 
-    def _drop(self, window: int) -> None:
+    def _drop_window(self, window: int) -> None:
         requests = sum(self._windows.pop(window).values())
-        cause = "nobody settled its window"
+        cause = "no holder settled the window in time"
         log.error("usage_lost", extra={"window": window, "requests": requests, "cause": cause})
 
     def counts(self) -> UsageCounts:
-        """All that is kept."""
+        """Return the counts of all windows that are not known to be settled."""
         return UsageCounts(self._source, self._windows)
 
     async def run(self) -> None:
-        """Send the holder what is new until cancelled."""
+        """Send new counts to the holder until cancelled."""
         backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         while True:
-            await self._wait_for_news()
+            await self._wait_until_send_needed()
             holder = self._find_holder()
             if holder is not None and await self._send(holder[0]):
                 backoff.reset()
-                self._sent_to = holder
-                await asyncio.sleep(GATHER_S)
+                self._last_receiver = holder
+                await asyncio.sleep(BATCH_INTERVAL_S)
             else:
-                self._changed.set()
-                await asyncio.sleep(GATHER_S + backoff.next_delay())
+                self._has_unsent.set()
+                await asyncio.sleep(BATCH_INTERVAL_S + backoff.next_delay())
 
     async def flush(self) -> None:
-        """Before a planned end: send the holder what it does not have yet."""
+        """Send the holder any unsent counts; called before a planned shutdown."""
         holder = self._find_holder()
-        if self._changed.is_set() and holder is not None:
+        if self._has_unsent.is_set() and holder is not None:
             await self._send(holder[0])
 
-    async def _wait_for_news(self) -> None:
-        """Return when something was counted, or when another process holds the duty."""
-        while not self._changed.is_set():
-            if self._windows and self._find_holder() not in (self._sent_to, None):
+    async def _wait_until_send_needed(self) -> None:
+        """Wait until there are unsent counts, or a new holder that must receive the kept ones."""
+        while not self._has_unsent.is_set():
+            if self._windows and self._find_holder() not in (self._last_receiver, None):
                 return
             try:
-                async with asyncio.timeout(GATHER_S):
-                    await self._changed.wait()
+                async with asyncio.timeout(BATCH_INTERVAL_S):
+                    await self._has_unsent.wait()
             except TimeoutError:
-                # Nothing was counted: look whether the holder is another one.
+                # No new counts: check whether the holder has changed.
                 continue
 
     async def _send(self, holder: str) -> bool:
-        """Whether the holder took all that was counted before."""
-        self._changed.clear()
+        """Send all counts; return whether the holder accepted them."""
+        self._has_unsent.clear()
         if not self._windows:
             return True
         try:
-            raw = await self._ask(holder, msgspec.msgpack.encode(self.counts()), ANSWER_S)
+            raw = await self._ask(holder, msgspec.msgpack.encode(self.counts()), SEND_TIMEOUT_S)
             receipt = msgspec.msgpack.decode(raw, type=UsageReceipt)
         except (KeyValueError, msgspec.DecodeError) as error:
             reason = type(error).__name__
             log.warning("usage_not_told", extra={"peer": holder, "error": reason})
             return False
         if receipt.is_taken:
-            self._forget_before(receipt.next_window)
+            self._delete_windows_before(receipt.next_window)
         return receipt.is_taken
 
-    def _forget_before(self, window: int) -> None:
+    def _delete_windows_before(self, window: int) -> None:
         for settled in [one for one in self._windows if one < window]:
             del self._windows[settled]
--- a/src/crankseam/usage/reporter.py
+++ b/src/crankseam/usage/reporter.py
@@ -27,7 +27,7 @@
 )
 from crankseam.errors import KeyValueError
 from crankseam.usage.clock import TrueClock
-from crankseam.usage.counter import MOST_WINDOWS
+from crankseam.usage.counter import MAX_WINDOWS
 from crankseam.usage.ledger import UsageLedger, decode_ledger, encode_ledger
 from crankseam.usage.messages import UsageCounts, UsageReceipt, UsageSink
 from crankseam.usage.settling import (
@@ -184,7 +184,7 @@
             return first
         try:
             ledger = decode_ledger(entry.value)
-            lost = ledger.skip_to(current - MOST_WINDOWS)
+            lost = ledger.skip_to(current - MAX_WINDOWS)
             if lost:
                 self._lose(lost, "nobody held the duty for too long")
             return ledger
--- a/tests/usage/test_reporter.py
+++ b/tests/usage/test_reporter.py
@@ -196,6 +196,6 @@
     holder, others = split(processes)
     for process in others:
         process.count("t")
-    await eventually(lambda: all(not one.counter._changed.is_set() for one in others))
+    await eventually(lambda: all(not one.counter._has_unsent.is_set() for one in others))
     store.expire_lease(holder.lease.number)
     await eventually(lambda: platform.total() == 2)
