--- a/src/crankseam/usage/reporter.py
+++ b/src/crankseam/usage/reporter.py
@@ -1,9 +1,9 @@
-"""Settles and reports windows of usage: what the holder of the usage duty does.
+"""Settles and reports usage windows on the process that holds the usage duty.
 
-Owns the ledger, which it reads from the store under each new token and writes under the condition
-that it still holds the duty: so two holders never settle one window. Relies on the duty, on the
-corrected time of day, and on the counters of all processes, which send it what they counted. The
-rules are in `crankseam.usage.settling`.
+The reporter owns the ledger. It reads the ledger from the coordination store under each new fencing
+token, and writes it only on the condition that this process still holds the duty, so two holders
+never settle the same window. It depends on the duty, on the corrected time of day and on the
+counters of all processes, which send it their counts. The rules are in `crankseam.usage.settling`.
 """
 
 from __future__ import annotations
@@ -40,18 +40,19 @@
 log = logging.getLogger(__name__)
 
 LEDGER_KEY = "crankseam/usage/ledger"
-"""Not below the prefix of states, which every process follows: only a new holder reads it."""
-LOOK_S = 0.2
-"""Pause between two looks at what is to be settled, saved and reported; origin not recorded."""
+"""The key is outside the state prefix, which every process watches, because only the holder reads
+the ledger."""
+POLL_INTERVAL_S = 0.2
+"""Pause between two checks for windows to settle or report and for changes to save."""
 RETRY_BASE_S = 0.1
-"""Longest pause after a first report that was not taken; it doubles with each further one. Origin
-not recorded."""
+"""Upper bound of the random delay after the first failed report; it doubles with each further
+failure."""
 RETRY_CAP_S = 0.8
-"""The most to which the pause grows; origin not recorded."""
+"""Limit to which the upper bound of the delay grows."""
 
 
 class UsageReporter:
-    """Runs in every process; only the holder of the duty settles and reports.
+    """Settles and reports usage windows; runs in every process, but only the duty holder acts.
 
     Parameters
     ==========
@@ -83,19 +84,20 @@
         self._process = process
         self._deadline_s = deadline_s
         self._fence: int | None = None
-        """The token under which the ledger was read; None while it has to be read."""
-        self._settles_under = 0
-        """The token under which others have had time to send their counts again."""
+        """Fencing token under which the ledger was read; None if it must be read again."""
+        self._resend_fence = 0
+        """Fencing token for which `_settle_not_before` was set, so that the wait for resent counts
+        starts once per token."""
         self._ledger: UsageLedger | None = None
         self._revision = ABSENT
-        self._early = UsageLedger(0)
-        """Counts that came before the ledger was read."""
-        self._unsaved = False
-        """Whether counts came since the ledger was written."""
-        self._save_at = float("-inf")
-        self._settle_from = float("-inf")
-        self._call_at = float("-inf")
-        """Monotonic seconds from which the next save, settlement and report may be."""
+        self._early_counts = UsageLedger(0)
+        """Counts received before the ledger was read."""
+        self._has_unsaved_changes = False
+        """Whether the ledger in memory may contain changes that the store does not have yet."""
+        self._save_not_before = float("-inf")
+        self._settle_not_before = float("-inf")
+        self._report_not_before = float("-inf")
+        """Monotonic times in seconds before which no save, settlement or report starts."""
         self._backoff = Backoff(RETRY_BASE_S, RETRY_CAP_S)
         self.reported = 0
         self.reported_late = 0
@@ -104,45 +106,46 @@
     # --- counts of all processes
 
     async def serve(self, raw: bytes) -> bytes:
-        """Answer another process's counts, or this one's."""
-        return msgspec.msgpack.encode(self._take(msgspec.msgpack.decode(raw, type=UsageCounts)))
+        """Handle the encoded counts of any process, including this one; return the receipt."""
+        return msgspec.msgpack.encode(self._receive(msgspec.msgpack.decode(raw, type=UsageCounts)))
 
-    def _take(self, counts: UsageCounts) -> UsageReceipt:
+    def _receive(self, counts: UsageCounts) -> UsageReceipt:
         if not self._duty.is_holder():
             return UsageReceipt()
         if self._ledger is None:
-            self._early.merge_counts(counts)
+            self._early_counts.merge_counts(counts)
             return UsageReceipt(True)
         late = self._ledger.merge_counts(counts)
         if late:
-            self._lose(late, "told after its window was settled")
-        self._unsaved = True
+            self._record_lost(late, "received after the window was settled")
+        self._has_unsaved_changes = True
         return UsageReceipt(True, self._ledger.next_window)
 
-    def _lose(self, requests: int, cause: str) -> None:
+    def _record_lost(self, requests: int, cause: str) -> None:
         self.lost += requests
         log.error("usage_lost", extra={"window": None, "requests": requests, "cause": cause})
 
     # --- the holder's work
 
     async def run(self) -> None:
-        """Settle and report until cancelled."""
+        """Settle and report windows until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            await self._look()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            await self._poll()
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         fence = await self._duty.take_turn()
         if fence is None:
             if not self._duty.is_holder():
-                self._forget()
+                self._discard_ledger()
             return
         try:
             if self._fence != fence:
-                await self._read(fence)
+                await self._load_ledger(fence)
             await self._settle_or_save(fence)
         except TransactionConflict:
-            # Another holder wrote, or a write of this one took effect without an answer.
+            # Another holder wrote the ledger, or a write of this process took effect although its
+            # answer was lost.
             self._fence = None
             return
         except KeyValueError as error:
@@ -151,78 +154,84 @@
             return
         await self._report_settled()
 
-    def _forget(self) -> None:
-        """Another process holds the duty, and whoever counted sends it all anew."""
+    def _discard_ledger(self) -> None:
+        """Discard the ledger when another process holds the duty; counters resend their counts."""
         self._fence = None
         self._ledger = None
-        self._early = UsageLedger(0)
+        self._early_counts = UsageLedger(0)
 
     # --- the ledger
 
-    async def _read(self, fence: int) -> None:
+    async def _load_ledger(self, fence: int) -> None:
         entry = await self._store.get(LEDGER_KEY)
-        ledger = self._decode(entry)
+        ledger = self._restore_ledger(entry)
         if self._ledger is not None:
             ledger.merge_open(self._ledger)
-        ledger.merge_open(self._early)
-        self._early = UsageLedger(0)
+        ledger.merge_open(self._early_counts)
+        self._early_counts = UsageLedger(0)
         self._ledger, self._revision = ledger, entry.revision if entry is not None else ABSENT
-        self._unsaved = True
-        if fence != self._settles_under:
-            self._settles_under = fence
-            self._settle_from = time.monotonic() + RESEND_WAIT_S
+        self._has_unsaved_changes = True
+        if fence != self._resend_fence:
+            self._resend_fence = fence
+            self._settle_not_before = time.monotonic() + RESEND_WAIT_S
         self._fence = fence
 
-    def _decode(self, entry: Entry | None) -> UsageLedger:
+    def _restore_ledger(self, entry: Entry | None) -> UsageLedger:
         current = self._clock.current_window()
-        first = UsageLedger(
+        new_ledger = UsageLedger(
             first_unsettled(
-                current, self._clock.seconds_since_end, self._deadline_s, self._early.open
+                current, self._clock.seconds_since_end, self._deadline_s, self._early_counts.open
             )
         )
         if entry is None:
-            return first
+            return new_ledger
         try:
             ledger = decode_ledger(entry.value)
             lost = ledger.skip_to(current - MAX_WINDOWS)
             if lost:
-                self._lose(lost, "nobody held the duty for too long")
+                self._record_lost(lost, "no process held the usage duty for too long")
             return ledger
         except msgspec.DecodeError as error:
             log.error("usage_ledger_malformed", extra={"error": type(error).__name__})
-            return first
+            return new_ledger
 
     async def _settle_or_save(self, fence: int) -> None:
-        """Write the ledger if a window is to be settled, or if counts waited for long enough."""
+        """Settle the windows that are due, and write the ledger to the store.
+
+        Without a due window, the ledger is written if it has changed and the save interval has
+        passed.
+        """
         ledger = self._ledger
         assert ledger is not None
         due = self._count_due_windows(ledger)
-        if not due and not (self._unsaved and time.monotonic() >= self._save_at):
+        if not due and not (
+            self._has_unsaved_changes and time.monotonic() >= self._save_not_before
+        ):
             return
-        written = decode_ledger(encode_ledger(ledger))
+        next_ledger = decode_ledger(encode_ledger(ledger))
         for _ in range(due):
-            written.settle_next()
-        value = encode_ledger(written)
+            next_ledger.settle_next()
+        value = encode_ledger(next_ledger)
         conditions = [
             Condition(self._duty.holder_key, fence),
             Condition(LEDGER_KEY, self._revision),
         ]
-        self._unsaved = False
+        self._has_unsaved_changes = False
         self._revision = await self._store.commit(Transaction(conditions, [Put(LEDGER_KEY, value)]))
-        # What came meanwhile counts for windows that are still open.
-        late = written.merge_open(ledger)
+        # Counts that arrived during the write are merged into the windows that are still open.
+        late = next_ledger.merge_open(ledger)
         if late:
-            self._lose(late, "told while its window was settled")
-        self._ledger = written
-        self._save_at = time.monotonic() + save_interval_s(len(value))
+            self._record_lost(late, "received while the window was being settled")
+        self._ledger = next_ledger
+        self._save_not_before = time.monotonic() + save_interval_s(len(value))
         if due:
             log.info(
                 "usage_settled",
-                extra={"next_window": written.next_window, "windows": due, "fence": fence},
+                extra={"next_window": next_ledger.next_window, "windows": due, "fence": fence},
             )
 
     def _count_due_windows(self, ledger: UsageLedger) -> int:
-        if time.monotonic() < self._settle_from:
+        if time.monotonic() < self._settle_not_before:
             return 0
         return count_due_windows(
             ledger.next_window, self._clock.seconds_since_end, self._deadline_s
@@ -234,12 +243,12 @@
         ledger = self._ledger
         assert ledger is not None
         for window in sorted(ledger.settled):
-            if time.monotonic() < self._call_at or not await self._report(ledger, window):
+            if time.monotonic() < self._report_not_before or not await self._report(ledger, window):
                 return
 
     async def _report(self, ledger: UsageLedger, window: int) -> bool:
-        """Report one window; whether the report was taken."""
-        # Right before the call: the duty may have been lost meanwhile.
+        """Report one window; return whether the report was accepted."""
+        # Checked immediately before the call, because the duty may have been lost in the meantime.
         fence = self._duty.fence()
         if fence is None or fence != self._fence:
             return False
@@ -248,20 +257,20 @@
             await self._sink.report_usage(window, counts, self._process, fence)
         except DutyFenced:
             self._duty.refuse(fence)
-            self._log_failed(window, fence, "a newer holder acts")
+            self._log_failure(window, fence, "a holder with a higher fencing token has acted")
             return False
         except (DutyRefused, DutyUnanswered) as error:
-            self._call_at = time.monotonic() + self._backoff.next_delay()
-            self._log_failed(window, fence, f"{type(error).__name__}: {error}")
+            self._report_not_before = time.monotonic() + self._backoff.next_delay()
+            self._log_failure(window, fence, f"{type(error).__name__}: {error}")
             return False
         self._backoff.reset()
         ledger.mark_reported(window)
-        self._unsaved = True
+        self._has_unsaved_changes = True
         self._count_reported(window, counts, fence)
         return True
 
     @staticmethod
-    def _log_failed(window: int, fence: int, reason: str) -> None:
+    def _log_failure(window: int, fence: int, reason: str) -> None:
         log.warning(
             "usage_not_reported", extra={"window": window, "fence": fence, "reason": reason}
         )
