--- a/src/crankseam/usage/ledger.py
+++ b/src/crankseam/usage/ledger.py
@@ -56,7 +56,7 @@
     reported: dict[int, TenantCounts] = {}
 
     def merge_counts(self, sent: UsageCounts) -> int:
-        """Merge the counts of one process; return the number of requests that arrived too late.
+        """Merge the counts of one process; return how many requests are known to be too late.
 
         Counts are cumulative, so the larger of the known and the received count is kept.
         """
@@ -71,9 +71,10 @@
         return late
 
     def _count_unreported(self, window: int, counts: TenantCounts) -> int:
-        """Return how many requests the report of a settled window lacks.
+        """Return by how much the counts of one source exceed a settled window's final counts.
 
-        Returns 0 if the ledger no longer keeps that report.
+        The final counts are totals of all sources, so this is a lower bound on the requests that
+        the report lacks. Returns 0 if the ledger no longer keeps the final counts of the window.
         """
         settled = self.settled.get(window, self.reported.get(window))
         if settled is None:
