--- a/src/crankseam/cli/__init__.py
+++ b/src/crankseam/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module a verb."""
+"""The `crankseam` command line; each verb has its own module."""
