--- a/src/crankseam/cli/apply.py
+++ b/src/crankseam/cli/apply.py
@@ -1,7 +1,8 @@
 """Apply the files as a whole, or not at all.
 
---plan FILE refuses if another change was accepted since that plan; --wait returns once the
-revision is in force on every node.
+With --plan FILE, the command rejects the change if another one was accepted after that plan was
+made. With --wait, it returns once the revision is in force on every node that is not dead, or when
+--timeout expires.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 from crankseam.config.snapshot import Pointer
 from crankseam.errors import ApplyConflict
 
-POLL_S = 0.2
-"""How often a node is asked whether the revision is in force. Origin not recorded."""
+POLL_INTERVAL_S = 0.2
+"""Interval between two queries for the revisions that are in force on the members."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Files, service, and how long to wait."""
+    """Add the arguments of `apply`."""
     add_files(parser)
     add_key_value(parser)
     add_json(parser)
@@ -52,7 +53,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Apply and, if asked, wait."""
+    """Apply the files and, with `--wait`, wait until the revision is in force."""
     documents = read_configuration(arguments.files)
     planned_from = None
     if arguments.plan:
@@ -62,11 +63,11 @@
         return exit_codes.INVALID
     pointer = with_key_value(
         arguments.key_value,
-        lambda client: _apply(client, documents, arguments.operator, planned_from),
+        lambda client: _plan_and_apply(client, documents, arguments.operator, planned_from),
     )
     in_force = True
     if arguments.wait:
-        in_force = asyncio.run(_wait(arguments, pointer.revision))
+        in_force = asyncio.run(_wait_until_in_force(arguments, pointer.revision))
     result = {"revision": pointer.revision, "changes": pointer.changes, "in_force": in_force}
     if arguments.json:
         print_json(result)
@@ -77,7 +78,7 @@
     return exit_codes.OK if in_force else exit_codes.NOT_IN_FORCE
 
 
-async def _apply(
+async def _plan_and_apply(
     client: KeyValueClient, documents: list[Document], operator: str, planned_from: int | None
 ) -> Pointer:
     plan = await make_plan(client, documents)
@@ -95,23 +96,29 @@
     return await apply_plan(client, plan, operator)
 
 
-async def _wait(arguments: argparse.Namespace, revision: int) -> bool:
-    """Until every member that is not dead serves under the revision, as one node knows it."""
+async def _wait_until_in_force(arguments: argparse.Namespace, revision: int) -> bool:
+    """Wait until every member that is not dead serves under the revision, or until the timeout.
+
+    The members and their revisions are those in the status of one node.
+
+    Returns:
+        Whether the revision was in force on all these members before the timeout.
+    """
     deadline = time.monotonic() + arguments.timeout
     tls = tls_context(arguments)
     with tqdm(unit="node", disable=not sys.stderr.isatty()) as progress:
         while time.monotonic() < deadline:
             try:
                 status: dict[str, Any] = await ask_nodes(arguments.node, "/operator/status", tls)
-            except NodeUnreachable:  # another try, until the deadline
-                await asyncio.sleep(POLL_S)
+            except NodeUnreachable:  # retried until the deadline
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
-            living = [m for m in status["members"] if m["status"] != "dead"]
-            done = sum(member["revision"] >= revision for member in living)
-            progress.total = len(living)
-            progress.n = done
+            live_members = [m for m in status["members"] if m["status"] != "dead"]
+            updated_count = sum(member["revision"] >= revision for member in live_members)
+            progress.total = len(live_members)
+            progress.n = updated_count
             progress.refresh()
-            if done == len(living):
+            if updated_count == len(live_members):
                 return True
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
     return False
