--- a/src/crankseam/cli/common.py
+++ b/src/crankseam/cli/common.py
@@ -1,7 +1,7 @@
 """Arguments and helpers that several verbs share.
 
-Owns names and help texts of shared flags. Any node can be asked; the first that answers is
-believed.
+This module defines the names and help texts of the shared flags. An operator's query may go to any
+node; the nodes are tried in the given order, and the first successful response is used.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 T = TypeVar("T")
 NODE_TIMEOUT_S = 5.0
-"""For one node's answer, before the next one is asked. Origin not recorded."""
+"""Time limit for the response of one node, after which the next node is tried."""
 
 
 class NodeUnreachable(CrankseamError):
-    """No node answered the operator's question."""
+    """No node returned a successful response to an operator's query."""
 
 
 def add_files(parser: argparse.ArgumentParser) -> None:
-    """The declarative files or folders."""
+    """Add the positional argument for the declarative files or folders."""
     parser.add_argument("files", nargs="+", type=Path, help="YAML files or folders of them")
 
 
 def add_key_value(parser: argparse.ArgumentParser) -> None:
-    """Where the key-value service is."""
+    """Add the flag for the addresses of the key-value service."""
     parser.add_argument(
         "--key-value",
         action="append",
@@ -45,7 +45,7 @@
 
 
 def add_node(parser: argparse.ArgumentParser, required: bool = True) -> None:
-    """Which nodes to ask."""
+    """Add the flags for the nodes to query and for TLS towards them."""
     parser.add_argument(
         "--node",
         action="append",
@@ -59,28 +59,29 @@
 
 
 def tls_context(arguments: argparse.Namespace) -> ssl.SSLContext | None:
-    """TLS towards nodes, if an authority was given."""
+    """Return the TLS context for connections to nodes, or None without `--tls-authority`."""
     if arguments.tls_authority is None:
         return None
     context = ssl.create_default_context(cafile=str(arguments.tls_authority))
-    context.check_hostname = False  # nodes are reached by IP number, known by their authority
+    # Nodes are reached by IP address, so only the signature of the authority is verified.
+    context.check_hostname = False
     if arguments.tls_certificate is not None:
         context.load_cert_chain(arguments.tls_certificate, arguments.tls_key)
     return context
 
 
 def add_json(parser: argparse.ArgumentParser) -> None:
-    """Machine-readable output."""
+    """Add the flag for JSON output."""
     parser.add_argument("--json", action="store_true", help="print JSON")
 
 
-def with_key_value(endpoints: list[str], work: Callable[[KeyValueClient], Awaitable[T]]) -> T:
-    """Run `work` with a client of the key-value service."""
+def with_key_value(endpoints: list[str], operation: Callable[[KeyValueClient], Awaitable[T]]) -> T:
+    """Run `operation` with a client of the key-value service, which is closed afterwards."""
 
     async def run() -> T:
         client = KeyValueClient(endpoints)
         try:
-            return await work(client)
+            return await operation(client)
         finally:
             await client.close()
 
@@ -90,13 +91,13 @@
 async def ask_nodes(
     nodes: list[str], path: str, tls: ssl.SSLContext | None = None, method: str = "GET"
 ) -> Any:
-    """Ask for `path` at the first node that answers; the decoded JSON.
+    """Request `path` from each node in turn and return the first successful response's JSON.
 
     Raises:
-        NodeUnreachable: none gave an answer.
+        NodeUnreachable: no node responded with status 200; the message names each failure.
     """
     timeout = aiohttp.ClientTimeout(total=NODE_TIMEOUT_S)
-    problems = []
+    failures = []
     async with aiohttp.ClientSession(timeout=timeout) as session:
         for node in nodes:
             try:
@@ -106,12 +107,12 @@
                     content = await answer.json(content_type=None)
                     if answer.status == 200:
                         return content
-                    problems.append(f"{node}: {content.get('detail', answer.status)}")
+                    failures.append(f"{node}: {content.get('detail', answer.status)}")
             except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-                problems.append(f"{node}: {type(error).__name__}")
-    raise NodeUnreachable("; ".join(problems))
+                failures.append(f"{node}: {type(error).__name__}")
+    raise NodeUnreachable("; ".join(failures))
 
 
 def print_json(content: Any) -> None:
-    """Print indented JSON."""
+    """Print `content` as indented JSON with sorted keys."""
     print(json.dumps(content, indent=2, sort_keys=True, default=str))
