--- a/src/crankseam/cli/exit_codes.py
+++ b/src/crankseam/cli/exit_codes.py
@@ -1,14 +1,14 @@
 """Exit codes of the command, as documented in docs/operators/command-line.md."""
 
 OK = 0
-"""The work was done."""
+"""The command succeeded."""
 FAILED = 1
-"""The work was done and found a failure, such as a violation in an experiment."""
+"""The command failed or reported a failure, such as a violation in an experiment."""
 INVALID = 2
-"""Wrong arguments, files or settings; nothing was changed."""
+"""Arguments, files or settings are invalid; nothing was changed."""
 CONFLICT = 3
-"""Another operator's change came first; nothing was changed."""
+"""Another change was accepted first; nothing was changed."""
 UNREACHABLE = 4
-"""A service or node did not answer; the message says whether anything may have changed."""
+"""A service or node did not answer; the message states whether a change may have been made."""
 NOT_IN_FORCE = 5
-"""Accepted, but not seen in force everywhere within the time given."""
+"""The revision was accepted but not seen in force on all nodes within the timeout."""
