--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -1,7 +1,7 @@
 """Explain a decision: by its id, a request id, an idempotency key, a sample or a back end.
 
-Any node can be asked, also after the node that decided has died. With `--log`, the story is told
-from log files instead, of as many machines as are given.
+Any node can be queried, even after the node that made the decision has failed. With `--log`, the
+explanation is assembled from log files instead, which may come from several machines.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from pathlib import Path
 
 from crankseam.cli import exit_codes
-from crankseam.cli.common import add_json, add_node, ask_nodes, print_json, tls_context
+from crankseam.cli.fixed_fields import add_json, add_node, ask_nodes, print_json, tls_context
 from crankseam.story import Line, read_lines, tell
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """What to explain, and which node to ask."""
+    """Add the arguments of `explain`."""
     parser.add_argument("id", help="decision id, request id, idempotency key, trainer/step/index")
     add_node(parser, required=False)
     parser.add_argument(
@@ -27,9 +27,9 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Ask and print."""
+    """Print the decisions about the id, or with `--log` the log lines about it."""
     if arguments.log:
-        return _tell(arguments)
+        return _explain_from_logs(arguments)
     if not arguments.node:
         print("error: name a --node or a --log", file=sys.stderr)
         return exit_codes.INVALID
@@ -50,27 +50,29 @@
     return exit_codes.OK
 
 
-def _tell(arguments: argparse.Namespace) -> int:
-    """Tell an id's story from log files."""
+def _explain_from_logs(arguments: argparse.Namespace) -> int:
+    """Print the log lines about the id, then other log lines from the same period."""
     story = tell(read_lines(arguments.log), arguments.id)
     if arguments.json:
         print_json({"subject": story.subject, "surroundings": story.surroundings})
         return exit_codes.OK if story.subject else exit_codes.FAILED
     if not story.subject:
-        print(f"no line tells of {arguments.id}")
+        print(f"no log line refers to {arguments.id}")
         return exit_codes.FAILED
     started = float(story.subject[0]["time"])
     for line in story.subject:
-        print(_as_text(line, started))
+        print(_format_line(line, started))
     if story.surroundings:
         print("meanwhile:")
     for line in story.surroundings:
-        print(_as_text(line, started))
+        print(_format_line(line, started))
     return exit_codes.OK
 
 
-def _as_text(line: Line, started: float) -> str:
-    common = ("time", "node", "level", "event")
-    rest = " ".join(f"{name}={value}" for name, value in line.items() if name not in common)
+def _format_line(line: Line, started: float) -> str:
+    fixed_fields = ("time", "node", "level", "event")
+    other_fields = " ".join(
+        f"{name}={value}" for name, value in line.items() if name not in fixed_fields
+    )
     offset = float(line["time"]) - started
-    return f"{offset:+9.3f} s  {line.get('node', '?'):<22} {line['event']:<20} {rest}"
+    return f"{offset:+9.3f} s  {line.get('node', '?'):<22} {line['event']:<20} {other_fields}"
