--- a/src/crankseam/cli/history.py
+++ b/src/crankseam/cli/history.py
@@ -13,18 +13,18 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Service, count and output form."""
+    """Add the arguments of `history`."""
     add_key_value(parser)
     add_json(parser)
     parser.add_argument("--last", type=int, default=20, help="how many revisions")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Read and print."""
-    found = with_key_value(
+    """Print the last accepted revisions with their changes."""
+    entries = with_key_value(
         arguments.key_value, lambda client: client.get_last(HISTORY_PREFIX, arguments.last)
     )
-    pointers = [msgspec.json.decode(item.value, type=Pointer) for item in found]
+    pointers = [msgspec.json.decode(item.value, type=Pointer) for item in entries]
     if arguments.json:
         print_json([msgspec.to_builtins(pointer) for pointer in pointers])
         return exit_codes.OK
