--- a/src/crankseam/cli/main.py
+++ b/src/crankseam/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the `crankseam` command: finds the verb's module and turns errors into words."""
+"""Entry point of the `crankseam` command: runs the verb's module and reports its errors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def _load_verbs() -> dict[str, ModuleType]:
-    """Each verb's module has `add_arguments(parser)` and `run(arguments) -> int`."""
+    """Import the modules of the built-in verbs and of the verbs that plugins register.
+
+    Each module defines `add_arguments(parser)` and `run(arguments) -> int`.
+    """
     verbs = {name: importlib.import_module(f"crankseam.cli.{name}") for name in VERBS}
     for plugin in entry_points(group=PLUGIN_GROUP):
         verbs[plugin.name] = plugin.load()
@@ -38,7 +41,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one verb; returns the exit code."""
+    """Run one verb and return its exit code."""
     verbs = _load_verbs()
     arguments = _build_parser(verbs).parse_args(argv)
     try:
