--- a/src/crankseam/cli/node.py
+++ b/src/crankseam/cli/node.py
@@ -1,6 +1,7 @@
 """Run one serving node.
 
-Settings come from a TOML file, flags override them. SIGTERM and SIGINT make a planned stop.
+Settings are read from a TOML file, and flags override them. SIGTERM and SIGINT start a graceful
+shutdown.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from crankseam.node import Node
 from crankseam.settings import NodeSettings, load_settings
 
-FLAGS = {
+SETTING_FLAGS = {
     "name": str,
     "region": str,
     "zone": str,
@@ -36,17 +37,21 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """A settings file and a flag for each plain setting."""
+    """Add a flag for the settings file and one for each setting that holds a single value."""
     parser.add_argument("--settings", type=Path, help="TOML file")
     parser.add_argument("--print-settings", action="store_true", help="print and exit")
     parser.add_argument("--key-value", action="append", metavar="HOST:PORT")
     parser.add_argument("--seed", action="append", dest="seeds", metavar="HOST:PORT")
-    for name, kind in FLAGS.items():
+    for name, kind in SETTING_FLAGS.items():
         parser.add_argument(f"--{name.replace('_', '-')}", type=kind)
 
 
 async def serve(settings: NodeSettings) -> int:
-    """Serve until a signal comes or a part of the node fails; returns the exit code."""
+    """Serve until a signal arrives or a background task of the node fails.
+
+    Returns:
+        The exit code.
+    """
     node = Node(settings)
     await node.start()
     stop = asyncio.Event()
@@ -56,7 +61,7 @@
     node.agent.tasks.on_failure = stop.set
     await stop.wait()
     if node.agent.tasks.failed:
-        # A node without one of its controllers must not go on serving.
+        # A node must not continue to serve after one of its controllers has failed.
         await node.close()
         return exit_codes.FAILED
     await node.stop_gracefully()
@@ -64,8 +69,8 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve until a signal comes."""
-    names = [*FLAGS, "key_value", "seeds"]
+    """Load the settings and serve, or print them with `--print-settings`."""
+    names = [*SETTING_FLAGS, "key_value", "seeds"]
     overrides = {name: getattr(arguments, name) for name in names}
     settings = load_settings(arguments.settings, overrides)
     if arguments.print_settings:
@@ -73,6 +78,7 @@
         return exit_codes.OK
     configure_logging(settings.name, settings.log_level)
     uvloop.install()
-    # Signals are the node's own business: a planned stop takes longer than the entry point grants.
+    # `serve` handles the signals itself, because a graceful shutdown takes longer than the
+    # time limit of the aiomisc entry point.
     with aiomisc.entrypoint(log_config=False, catch_signals=()) as loop:
         return loop.run_until_complete(serve(settings))
