--- a/src/crankseam/cli/plan.py
+++ b/src/crankseam/cli/plan.py
@@ -1,6 +1,6 @@
 """Show what applying the files would change.
 
-With --out the plan's base revision is written to a file, for `apply --plan`.
+With --out, the revision that the plan was compared with is written to a file for `apply --plan`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Files, service and output form."""
+    """Add the arguments of `plan`."""
     add_files(parser)
     add_key_value(parser)
     add_json(parser)
@@ -23,7 +23,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Compare and print."""
+    """Print the differences between the files and the accepted configuration."""
     documents = read_configuration(arguments.files)
     plan = with_key_value(arguments.key_value, lambda client: make_plan(client, documents))
     if arguments.out:
