--- a/src/crankseam/cli/schema.py
+++ b/src/crankseam/cli/schema.py
@@ -13,11 +13,11 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """No arguments."""
+    """Add nothing: `schema` takes no arguments."""
 
 
 def run(_arguments: argparse.Namespace) -> int:
-    """Generate and print."""
+    """Print one schema that covers every kind of document, discriminated by `kind`."""
     adapter: TypeAdapter[Document] = TypeAdapter(Annotated[Document, Field(discriminator="kind")])
     print_json(adapter.json_schema())
     return exit_codes.OK
