--- a/src/crankseam/cli/status.py
+++ b/src/crankseam/cli/status.py
@@ -1,6 +1,6 @@
 """Show members, their configuration revisions, and back ends.
 
-Any node can be asked.
+Any node can be queried; the output shows the state as known to that node.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Which node, and output form."""
+    """Add the arguments of `status`."""
     add_node(parser)
     add_json(parser)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Ask and print."""
+    """Print the status that the first responding node returns."""
     status = asyncio.run(ask_nodes(arguments.node, "/operator/status", tls_context(arguments)))
     if arguments.json:
         print_json(status)
