--- a/src/crankseam/cli/suspects.py
+++ b/src/crankseam/cli/suspects.py
@@ -17,7 +17,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """What to do, and which node to ask."""
+    """Add the actions `list` and `release` with their arguments."""
     actions = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
     listing = actions.add_parser("list", help="all that are known, with their evidence")
     add_node(listing)
@@ -29,26 +29,26 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Ask a node and print."""
+    """Print the suspects known to a node, or release one of them."""
     tls = tls_context(arguments)
     if arguments.action == "release":
         path = f"{SUSPECTS_PATH}/{arguments.fingerprint}/release"
         released = asyncio.run(ask_nodes(arguments.node, path, tls, method="POST"))
         print(f"released {released['fingerprint']}")
         return exit_codes.OK
-    found = asyncio.run(ask_nodes(arguments.node, SUSPECTS_PATH, tls))
+    records = asyncio.run(ask_nodes(arguments.node, SUSPECTS_PATH, tls))
     if arguments.json:
-        print_json(found)
+        print_json(records)
         return exit_codes.OK
-    for one in found:
-        print(_as_text(one))
+    for suspect in records:
+        print(_format_suspect(suspect))
     return exit_codes.OK
 
 
-def _as_text(one: dict[str, Any]) -> str:
-    state = f"held for {one['held_for_s']:.0f} s more" if one["held"] else "suspected"
+def _format_suspect(suspect: dict[str, Any]) -> str:
+    state = f"held for {suspect['held_for_s']:.0f} s more" if suspect["held"] else "suspected"
     return (
-        f"{one['fingerprint']} {one['route']} tenant={one['tenant'] or '-'}"
-        f" body={one['body_bytes']} bytes: {state}, changed {one['age_s']:.0f} s ago,"
-        f" probes {one['probes']}, ended: {', '.join(one['ended'])}"
+        f"{suspect['fingerprint']} {suspect['route']} tenant={suspect['tenant'] or '-'}"
+        f" body={suspect['body_bytes']} bytes: {state}, changed {suspect['age_s']:.0f} s ago,"
+        f" probes {suspect['probes']}, ended: {', '.join(suspect['ended'])}"
     )
