--- a/src/crankseam/cli/validate.py
+++ b/src/crankseam/cli/validate.py
@@ -1,6 +1,6 @@
 """Check declarative files without touching anything.
 
-Prints every error with file, line and field.
+All errors are printed, each with its file, line and field.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Files and output form."""
+    """Add the arguments of `validate`."""
     add_files(parser)
     add_json(parser)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Read and check."""
+    """Read the files and print the keys of the documents, or all errors."""
     try:
         documents = read_configuration(arguments.files)
     except InvalidConfiguration as group:
