--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from crankseam.cli import exit_codes
-from crankseam.cli.fixed_fields import add_json, add_node, ask_nodes, print_json, tls_context
+from crankseam.cli.common import add_json, add_node, ask_nodes, print_json, tls_context
 from crankseam.story import Line, read_lines, tell
 
 
@@ -51,7 +51,7 @@
 
 
 def _explain_from_logs(arguments: argparse.Namespace) -> int:
-    """Print the log lines about the id, then other log lines from the same period."""
+    """Print the log lines about the id, then what its processes logged meanwhile."""
     story = tell(read_lines(arguments.log), arguments.id)
     if arguments.json:
         print_json({"subject": story.subject, "surroundings": story.surroundings})
