--- a/src/crankseam/cli/common.py
+++ b/src/crankseam/cli/common.py
@@ -63,7 +63,7 @@
     if arguments.tls_authority is None:
         return None
     context = ssl.create_default_context(cafile=str(arguments.tls_authority))
-    # Nodes are reached by IP address, so only the signature of the authority is verified.
+    # Nodes are reached by IP address: the certificate chain is verified, the host name is not.
     context.check_hostname = False
     if arguments.tls_certificate is not None:
         context.load_cert_chain(arguments.tls_certificate, arguments.tls_key)
