--- a/src/crankseam/cli/main.py
+++ b/src/crankseam/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the `crankseam` command: runs the verb's module and reports its errors."""
+"""Entry point of the `crankseam` command: runs a verb and maps its errors to exit codes."""
 
 from __future__ import annotations
 
