--- a/src/crankseam/cli/node.py
+++ b/src/crankseam/cli/node.py
@@ -37,7 +37,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add a flag for the settings file and one for each setting that holds a single value."""
+    """Add flags for the settings file and for the settings that flags can override."""
     parser.add_argument("--settings", type=Path, help="TOML file")
     parser.add_argument("--print-settings", action="store_true", help="print and exit")
     parser.add_argument("--key-value", action="append", metavar="HOST:PORT")
