--- a/src/crankseam/config/__init__.py
+++ b/src/crankseam/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' declarative files: kinds, reading, planning and snapshots."""
+"""Declarative configuration: document kinds, file reader, change plans and snapshots."""
