--- a/src/crankseam/config/changes.py
+++ b/src/crankseam/config/changes.py
@@ -1,8 +1,9 @@
-"""Plans a change against the accepted configuration, and applies it whole or not at all.
+"""Plans a change against the accepted configuration and applies it atomically.
 
-Owns the order of writes: content-addressed parts first, then one transaction that swings the
-pointer and writes the history entry. Relies on the key-value service's compare-and-swap; a lost
-answer is settled by reading the history entry back.
+The content-addressed parts are written first. One transaction then updates the pointer and writes
+the history entry. Its condition on the pointer relies on the compare-and-swap of the key-value
+service. If the response to the transaction is lost, the history entry is read back to determine
+whether it was committed.
 """
 
 from __future__ import annotations
@@ -21,11 +22,13 @@
 from crankseam.constants import HISTORY_PREFIX, PART_PREFIX, POINTER_KEY
 from crankseam.errors import ApplyConflict, KeyValueOutcomeUnknown, KeyValueUnavailable
 
-SETTLE_ATTEMPTS = 20
-"""Tries to learn what became of a write whose answer was lost: 10 s with the pause. Origin not
-recorded."""
-SETTLE_PAUSE_S = 0.5
-"""Between two of them. Origin not recorded."""
+RETRY_ATTEMPTS = 20
+"""Attempts to repeat or read back a write whose response was lost.
+
+With `RETRY_INTERVAL_S` between them, the pauses add up to 10 s.
+"""
+RETRY_INTERVAL_S = 0.5
+"""Pause after an unsuccessful attempt."""
 
 
 @dataclass(frozen=True)
@@ -33,9 +36,11 @@
     """What applying the files would change.
 
     Attributes:
-        base: the accepted pointer that the plan starts from, None before the first.
-        base_mod_revision: the key-value service's revision of it; the apply swings the pointer
-            only if it still stands at this one.
+        base: the accepted pointer that the plan was compared with, None if there was none.
+        base_mod_revision: the revision at which the key-value service last modified the pointer
+            key; the pointer is updated only if the key is still at this revision.
+        parts: `Kind/name` to the stored bytes of each document.
+        changes: readable lines that describe the differences from `base`.
     """
 
     base: Pointer | None
@@ -45,20 +50,23 @@
 
     @property
     def base_revision(self) -> int:
-        """Revision that the plan starts from."""
+        """Configuration revision of `base`, 0 if there is none."""
         return self.base.revision if self.base else 0
 
 
 @dataclass(frozen=True)
 class AcceptedPointer:
-    """The accepted pointer and the service's revision of it; before the first, None and 0."""
+    """The accepted pointer and the modification revision of its key.
+
+    They are None and 0 if no configuration has been accepted yet.
+    """
 
     pointer: Pointer | None
     mod_revision: int
 
 
 async def read_pointer(key_value: KeyValueClient) -> AcceptedPointer:
-    """What is accepted now."""
+    """Read the accepted pointer from the key-value service."""
     found = await key_value.get(POINTER_KEY)
     if found is None:
         return AcceptedPointer(None, 0)
@@ -66,7 +74,7 @@
 
 
 async def make_plan(key_value: KeyValueClient, documents: list[Document]) -> Plan:
-    """Compare the documents with what is accepted."""
+    """Compare the documents with the accepted configuration."""
     accepted = await read_pointer(key_value)
     parts = encode_parts(documents)
     changes = await _describe_changes(key_value, accepted.pointer, parts)
@@ -89,7 +97,7 @@
 
 
 def _field_changes(key: str, old: Any, new: Any, path: str = "") -> list[str]:
-    """`~ Kind/name field: old -> new` for each differing leaf."""
+    """Return a line `~ Kind/name field: old -> new` for each leaf value that differs."""
     if isinstance(old, dict) and isinstance(new, dict):
         lines = []
         for field in sorted(old.keys() | new.keys()):
@@ -102,7 +110,7 @@
 
 
 def _list_changes(key: str, old: list, new: list, path: str) -> list[str]:
-    """Items with a name are compared by name, others as a whole."""
+    """Compare lists item by item if every item has a name, otherwise as a whole."""
     if not all(isinstance(item, dict) and "name" in item for item in [*old, *new]):
         return [] if old == new else [f"~ {key} {path}: {old!r} -> {new!r}"]
     old_named = {item["name"]: item for item in old}
@@ -115,15 +123,16 @@
 
 
 async def apply_plan(key_value: KeyValueClient, plan: Plan, operator: str) -> Pointer:
-    """Write the parts, then swing the pointer.
+    """Write the parts, then update the pointer in one transaction.
 
     Returns:
-        The pointer that is accepted now.
+        The pointer that was accepted.
 
     Raises:
-        ApplyConflict: another change was accepted since the plan; nothing of this one was.
-        KeyValueUnavailable: nothing was accepted.
-        KeyValueOutcomeUnknown: the service went away before it could be settled.
+        ApplyConflict: another change was accepted after the plan was made; this one was not.
+        KeyValueUnavailable: the service was unavailable and the change was not accepted.
+        KeyValueOutcomeUnknown: the service became unavailable before the outcome of the
+            transaction could be read back.
     """
     pointer = Pointer(
         revision=plan.base_revision + 1,
@@ -140,41 +149,46 @@
         Put(f"{HISTORY_PREFIX}{pointer.revision:010d}", encoded),
     ]
     try:
-        swung = await key_value.transact([Unchanged(POINTER_KEY, plan.base_mod_revision)], writes)
+        committed = await key_value.transact(
+            [Unchanged(POINTER_KEY, plan.base_mod_revision)], writes
+        )
     except KeyValueOutcomeUnknown:
-        swung = await _settle(key_value, pointer)
-    if not swung:
-        raise await _conflict(key_value, plan)
+        committed = await _was_committed(key_value, pointer)
+    if not committed:
+        raise await _conflict_error(key_value, plan)
     return pointer
 
 
 async def _write_parts(key_value: KeyValueClient, plan: Plan) -> None:
-    known = set(plan.base.parts.values()) if plan.base else set()
+    stored_addresses = set(plan.base.parts.values()) if plan.base else set()
     for stored in plan.parts.values():
         address = content_address(stored)
-        if address not in known:
-            # Addressed by content: writing it twice, or a lost answer, does no harm.
-            await _put_until_known(key_value, PART_PREFIX + address, stored)
+        if address not in stored_addresses:
+            # Parts are content-addressed, so repeating a write whose response was lost is harmless.
+            await _put_with_retries(key_value, PART_PREFIX + address, stored)
 
 
-async def _put_until_known(key_value: KeyValueClient, key: str, stored: bytes) -> None:
-    for _attempt in range(SETTLE_ATTEMPTS):
+async def _put_with_retries(key_value: KeyValueClient, key: str, stored: bytes) -> None:
+    for _attempt in range(RETRY_ATTEMPTS):
         try:
             await key_value.transact([], [Put(key, stored)])
             return
         except KeyValueOutcomeUnknown:
-            await asyncio.sleep(SETTLE_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     raise KeyValueUnavailable("a part could not be written; nothing was accepted")
 
 
-async def _settle(key_value: KeyValueClient, pointer: Pointer) -> bool:
-    """After a lost answer, read back under the revision's history whose apply it was."""
+async def _was_committed(key_value: KeyValueClient, pointer: Pointer) -> bool:
+    """Return whether the transaction was committed, after its response was lost.
+
+    The history entry of the revision holds the apply id of the change that was accepted.
+    """
     key = f"{HISTORY_PREFIX}{pointer.revision:010d}"
-    for _attempt in range(SETTLE_ATTEMPTS):
+    for _attempt in range(RETRY_ATTEMPTS):
         try:
             found = await key_value.get(key)
         except KeyValueUnavailable:
-            await asyncio.sleep(SETTLE_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             continue
         if found is None:
             return False
@@ -184,10 +198,12 @@
     )
 
 
-async def _conflict(key_value: KeyValueClient, plan: Plan) -> ApplyConflict | KeyValueUnavailable:
+async def _conflict_error(
+    key_value: KeyValueClient, plan: Plan
+) -> ApplyConflict | KeyValueUnavailable:
     current = (await read_pointer(key_value)).pointer
     if current is None or current.revision == plan.base_revision:
-        return KeyValueUnavailable("the change was lost on its way; nothing was accepted")
+        return KeyValueUnavailable("the transaction was not committed; nothing was accepted")
     return ApplyConflict(
         planned_from=plan.base_revision,
         current=current.revision,
--- a/tests/config/test_changes.py
+++ b/tests/config/test_changes.py
@@ -1,4 +1,4 @@
-"""Applying: whole or not at all, races, lost answers."""
+"""Applying a plan: atomicity, concurrent changes and lost responses."""
 
 import asyncio
 
@@ -42,7 +42,7 @@
 async def test_a_lost_answer_is_settled_by_reading_back(platform, client):
     plan = await make_plan(client, platform.documents())
     platform.key_value.faults.lose_answers = 10
-    changes.SETTLE_PAUSE_S = 0.01
+    changes.RETRY_INTERVAL_S = 0.01
     task = asyncio.create_task(apply_plan(client, plan, "anna"))
     pointer = await task
     assert pointer.revision == 1
