--- a/src/crankseam/config/kinds.py
+++ b/src/crankseam/config/kinds.py
@@ -1,7 +1,7 @@
-"""The kinds of declarative documents, each a strict model with one concern.
+"""The kinds of declarative documents, each a strict pydantic model.
 
-Owns the names and defaults that operators write in files, and with them the stored bytes of the
-documents and `crankseam schema`.
+The field names and defaults are those of the files that operators write. They also determine the
+stored bytes of the documents and the output of `crankseam schema`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 def parse_duration(value: Any) -> float:
-    """Turn `250ms`, `10s`, `5m` or `1h` into seconds; a stored number of seconds passes."""
+    """Convert `250ms`, `10s`, `5m` or `1h` to seconds.
+
+    A float is returned as it is, since stored documents hold durations in seconds.
+    """
     if isinstance(value, float):
         return value
     match = _DURATION.match(value) if isinstance(value, str) else None
@@ -42,7 +45,7 @@
     """host:port of its HTTP interface."""
     zone: Name
     leaving: bool = False
-    """True: it receives no new work and finishes what it has."""
+    """If True, it receives no new requests and finishes those that are running."""
 
 
 class Service(_Strict):
@@ -51,18 +54,24 @@
     kind: Literal["Service"]
     name: Name
     home_region: Name
-    """The region whose nodes keep the service's request records."""
+    """The region whose nodes store the request records of the service."""
     back_ends: list[BackEnd] = Field(min_length=1)
     repeatable_methods: list[Literal["GET", "HEAD", "PUT", "DELETE", "OPTIONS", "POST"]] = [
         "GET",
         "HEAD",
         "OPTIONS",
     ]
-    """Methods that may run more than once; all others are claimed before they are forwarded."""
+    """Methods whose requests may run more than once.
+
+    A request with any other method is claimed before it is forwarded.
+    """
     deadline: Duration = 10.0
-    """Longest time a request may take when the caller names none."""
+    """Time limit of a request for which the caller sets no deadline."""
     crash_limit: int = Field(default=2, ge=1)
-    """Back ends that may end under one request before it is held back and tried one at a time."""
+    """Back ends that may terminate while running one request before the request is held back.
+
+    After a waiting time, the request is retried on one back end at a time.
+    """
 
 
 class SamplerPool(_Strict):
@@ -73,11 +82,14 @@
     home_region: Name
     samplers: list[BackEnd] = Field(min_length=1)
     max_running_per_sampler: int = Field(default=64, ge=1)
-    """Requests that crankseam keeps at one sampler at a time."""
+    """Maximum number of requests that crankseam runs concurrently on one sampler."""
     crash_limit: int = Field(default=3, ge=1)
-    """Samplers that may end under one sample, without a token in between, before it is held."""
+    """Samplers that may terminate while generating one sample before the sample is held back.
+
+    Only consecutive terminations without a new token in between are counted.
+    """
     routing: Literal["least_load", "round_robin"] = "least_load"
-    """How a sampler is chosen; `round_robin` is there to compare with."""
+    """How a sampler is chosen; `round_robin` serves as a baseline for comparison."""
 
 
 class WeightPolicy(_Strict):
@@ -89,11 +101,11 @@
     store: Address
     """host:port of the weight store."""
     pinned_version: int | None = None
-    """Serve this version; None follows the newest one published."""
+    """The version to serve; None selects the newest published version."""
     load_attempts: int = Field(default=3, ge=1)
-    """Failed loads after which a sampler is set aside."""
+    """Failed loads after which a sampler is excluded from routing until a load succeeds."""
     staging_concurrency: int = Field(default=4, ge=1)
-    """Samplers that load from the store at a time."""
+    """Maximum number of samplers that load from the store concurrently."""
 
 
 class Limit(_Strict):
@@ -102,7 +114,7 @@
     kind: Literal["Limit"]
     name: Name
     target: Name
-    """Name of the Service or SamplerPool it bounds."""
+    """Name of the Service or SamplerPool to which the limit applies."""
     max_in_flight: int = Field(ge=1)
 
 
@@ -113,15 +125,16 @@
     name: Name
     pool: Name
     staleness_bound: int = Field(ge=0)
-    """How many versions behind the trainer's own the oldest token of a sample may be."""
+    """Maximum number of versions by which a sample's oldest token may lag behind the trainer."""
     idle_weight: float = Field(default=0.5, ge=0.0, le=1.0)
-    """1 puts trainer idle time first, 0 staleness; see docs/operators/idle-and-staleness.md.
+    """Trade-off: 1 gives priority to low trainer idle time, 0 to low staleness.
 
-    Samples of a later step are started once no more than this share of the step before is
-    missing, and never before the staleness bound allows it.
+    Samples of a later step are started once at most this fraction of the previous step's samples
+    is missing, but never before the staleness bound allows it. See
+    docs/operators/idle-and-staleness.md.
     """
     sample_order: Literal["longest_first", "as_given"] = "longest_first"
-    """Order within a step; lengths are estimated by prompt group."""
+    """Order in which the samples of a step are started; lengths are estimated per prompt group."""
 
 
 Document = Service | SamplerPool | WeightPolicy | Limit | Trainer
@@ -135,5 +148,5 @@
 
 
 def document_key(document: Document) -> str:
-    """`Kind/name`, unique in a configuration."""
+    """Return `Kind/name`, which is unique within a configuration."""
     return f"{document.kind}/{document.name}"
