--- a/tests/config/test_reader.py
+++ b/tests/config/test_reader.py
@@ -1,4 +1,4 @@
-"""Reading declarative files: every error, with file, line and field."""
+"""Reading declarative files: every error is reported with its file, line and field."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 from crankseam.errors import InvalidConfiguration
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
-WRONG = b"""\
+INVALID_DOCUMENTS = b"""\
 kind: Service
 name: booking
 home_region: midlands
@@ -47,7 +47,7 @@
 
 
 def test_all_errors_are_reported_at_once_with_their_lines():
-    found = errors_of(WRONG)
+    found = errors_of(INVALID_DOCUMENTS)
     assert (4, "deadline") in found
     assert (5, "back_end") in found
     assert (7, "back_ends.0.address") in found
