--- a/src/crankseam/config/snapshot.py
+++ b/src/crankseam/config/snapshot.py
@@ -1,7 +1,7 @@
-"""A configuration at one revision, as nodes hold it and as it is stored in parts.
+"""One revision of the configuration, in memory on the nodes and as stored parts.
 
-Owns the stored bytes of the pointer and the parts. Relies on `kinds` for the documents. Snapshots
-are not changed once built.
+This module defines the stored form of the pointer and of the parts; the documents in the parts are
+models from `kinds`. A snapshot is not changed after it has been built.
 """
 
 from __future__ import annotations
@@ -24,13 +24,14 @@
 
 
 class Pointer(msgspec.Struct):
-    """What the pointer key holds: the parts that make up one revision.
+    """The value of the pointer key, which lists the parts of one revision.
 
     Attributes:
-        revision: counts accepted changes from 1.
-        apply_id: chosen by the operator's command; settles a lost answer.
+        revision: number of the accepted change, counted from 1.
+        apply_id: unique id set by the `apply` command; it identifies the accepted change after a
+            lost response.
         parts: `Kind/name` to the SHA-256 of the document's stored bytes.
-        changes: readable lines of what changed against the revision before.
+        changes: readable lines that describe the differences from the previous revision.
     """
 
     revision: int
@@ -42,32 +43,35 @@
 
 
 class StoredSnapshot(msgspec.Struct):
-    """A pointer with the bytes of all its parts, as nodes pass it to each other."""
+    """A pointer with the bytes of all its parts, in the form that nodes send to each other."""
 
     pointer: Pointer
     documents: list[bytes]
 
 
 def encode_document(document: Document) -> bytes:
-    """Canonical bytes of a document: the same document gives the same bytes."""
+    """Encode a document as canonical bytes: equal documents give equal bytes."""
     content = document.model_dump(mode="json")
     return msgspec.json.encode(content, order="deterministic")
 
 
 def decode_document(stored: bytes) -> Document:
-    """The document behind stored bytes."""
+    """Decode and validate a document from its stored bytes."""
     content = msgspec.json.decode(stored)
     return KINDS[content["kind"]].model_validate(content)
 
 
 def content_address(stored: bytes) -> str:
-    """Address of a part: the SHA-256 of its bytes."""
+    """Return the address of a part, which is the SHA-256 of its bytes in hexadecimal."""
     return hashlib.sha256(stored).hexdigest()
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """One revision, indexed for lookups. A request keeps one from start to end."""
+    """One revision of the configuration, indexed by kind and name.
+
+    A request uses the same snapshot from start to end.
+    """
 
     revision: int
     services: dict[str, Service] = field(default_factory=dict)
@@ -77,7 +81,7 @@
     trainers: dict[str, Trainer] = field(default_factory=dict)
 
     def limit_for(self, target: str) -> Limit | None:
-        """The limit that bounds a service or pool, if any."""
+        """Return the limit of a service or pool, or None if it has no limit."""
         return next((item for item in self.limits.values() if item.target == target), None)
 
 
@@ -101,5 +105,5 @@
 
 
 def encode_parts(documents: list[Document]) -> dict[str, bytes]:
-    """`Kind/name` to stored bytes."""
+    """Return the stored bytes of each document under its key `Kind/name`."""
     return {document_key(document): encode_document(document) for document in documents}
