--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, JSON, no traceback for a user's mistake."""
+"""The command line: exit codes, JSON output and no traceback on invalid input."""
 
 import asyncio
 import json
@@ -87,6 +87,6 @@
     code, output = await command("status", *node, "--json")
     assert json.loads(output)["revision"] == 2
     assert len(json.loads(output)["members"]) == 3
-    # The plan is out of date now.
+    # The plan is outdated, since the configuration has changed after it was made.
     assert (await command("apply", EXAMPLE, *key_value, "--plan", plan))[0] == exit_codes.CONFLICT
     assert (await command("explain", "nothing", *node))[0] == exit_codes.FAILED
