--- a/tests/cli/test_explain_logs.py
+++ b/tests/cli/test_explain_logs.py
@@ -1,4 +1,4 @@
-"""The cause of a failed request is found from log files alone."""
+"""`explain --log` shows the cause of a failed request from log files alone."""
 
 import asyncio
 import io
@@ -28,7 +28,7 @@
         root.setLevel(level)
 
 
-def explained(subject, file, *flags):
+def run_explain(subject, file, *flags):
     output = io.StringIO()
     with redirect_stdout(output):
         code = main(["explain", subject, "--log", str(file), *flags])
@@ -43,7 +43,7 @@
             sampler.faults.refuse = 100
         status, _, _ = await deployment.ask(front, "/once/x", request_id="lost-1")
         assert status == 503
-    code, text = explained("lost-1", log_file)
+    code, text = run_explain("lost-1", log_file)
     assert code == 0 and "request_given_up" in text and "status 503" in text
     assert "i-0" in text and "i-1" in text and "request_refused" in text
 
@@ -56,13 +56,13 @@
             sampler.faults.reset_before_answer = 1
             sampler.faults.delay = 0.2
         await deployment.ask(front, "/once/x", request_id="late-1")
-    code, text = explained("late-1", log_file, "--json")
+    code, text = run_explain("late-1", log_file, "--json")
     story = json.loads(text)
     (given_up,) = [line for line in story["subject"] if line["event"] == "request_given_up"]
     assert given_up["seconds"] >= 0.2 and given_up["attempts"][0] in given_up["reasons"][0]
 
 
-async def test_a_lost_item_tells_its_attempts_and_its_jobs_way(log_file):
+async def test_a_lost_item_shows_its_attempts_and_the_events_of_its_job(log_file):
     async with Deployment() as deployment:
         await deployment.configure()
         front = await deployment.start_front()
@@ -73,7 +73,7 @@
             (result,) = await deployment.all_results(front, "job7", 1)
         assert result["state"] == "lost"
         await eventually(lambda: "results_listed" in log_file.read_text())
-    code, text = explained("job7-0", log_file)
+    code, text = run_explain("job7-0", log_file)
     assert code == 0 and text.count("item_failed") == 3
     assert "job_accepted" in text and "results_listed" in text and "failure 3" in text
 
@@ -81,5 +81,5 @@
 def test_an_unknown_id_is_said_and_odd_lines_are_skipped(tmp_path):
     file = tmp_path / "x.log"
     file.write_text('not json\n  1.5 n {"event": "x"}\n{"time": 1, "event": "y", "job": "j"}\n{"')
-    assert explained("nobody", file)[0] != 0
-    assert explained("j", file)[0] == 0
+    assert run_explain("nobody", file)[0] != 0
+    assert run_explain("j", file)[0] == 0
