--- a/src/crankseam/config/changes.py
+++ b/src/crankseam/config/changes.py
@@ -130,7 +130,8 @@
 
     Raises:
         ApplyConflict: another change was accepted after the plan was made; this one was not.
-        KeyValueUnavailable: the service was unavailable and the change was not accepted.
+        KeyValueUnavailable: the change was not accepted, because the service was unavailable or
+            the transaction was not committed.
         KeyValueOutcomeUnknown: the service became unavailable before the outcome of the
             transaction could be read back.
     """
@@ -181,7 +182,8 @@
 async def _was_committed(key_value: KeyValueClient, pointer: Pointer) -> bool:
     """Return whether the transaction was committed, after its response was lost.
 
-    The history entry of the revision holds the apply id of the change that was accepted.
+    The history entry of the revision holds the apply id of the accepted change. If there is no
+    entry, no change has been accepted under this revision.
     """
     key = f"{HISTORY_PREFIX}{pointer.revision:010d}"
     for _attempt in range(RETRY_ATTEMPTS):
