--- a/src/crankseam/config/reader.py
+++ b/src/crankseam/config/reader.py
@@ -23,7 +23,7 @@
 MAX_NESTING = 32
 """Maximum nesting depth of a document.
 
-It bounds the recursion over the nodes and is far above the depth of any kind.
+It bounds the recursion over the composed nodes and is far above the depth of any kind.
 """
 
 
