--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -51,7 +51,7 @@
 
 
 def _explain_from_logs(arguments: argparse.Namespace) -> int:
-    """Print the log lines about the id, then what its processes logged meanwhile."""
+    """Print the log lines about the id, then related events of its nodes and back ends."""
     story = tell(read_lines(arguments.log), arguments.id)
     if arguments.json:
         print_json({"subject": story.subject, "surroundings": story.surroundings})
