--- a/src/crankseam_experiments/auditor.py
+++ b/src/crankseam_experiments/auditor.py
@@ -1,7 +1,7 @@
-"""Compares the stand-ins' own accounts with what callers and trainers were told.
+"""Compares the stand-ins' account logs with the answers that callers and trainers received.
 
-The auditor trusts nobody: it reads only accounts that outside systems wrote themselves, and the
-experiment's own log of what it did to whom and when.
+The auditor does not rely on records of the system under test. It reads only the account logs that
+the stand-ins wrote and the experiment's record of the faults and changes that it applied.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
     "planned_stop_cuts_nothing",
     "config_in_force_never_reverts",
 )
-LEAVING_S = 2.0
-"""A leaving back end gets no new work later than this after the first sign."""
+LEAVING_GRACE_S = 2.0
+"""Seconds after a back end starts to report that it is leaving during which new work is allowed."""
 MAX_EXAMPLES = 5
-"""Violations of one promise that a report spells out."""
+"""Maximum number of violations of one promise that a report describes."""
 
 Entry = dict[str, Any]
 
 
 @dataclass
 class Finding:
-    """Checks and violations of one promise."""
+    """Result of the checks of one promise: counts of checks and violations, and examples."""
 
     name: str
     checks: int = 0
@@ -41,7 +41,7 @@
     examples: list[str] = field(default_factory=list)
 
     def check(self, holds: bool, example: str) -> None:
-        """Count one check; keep the first few violations for the report."""
+        """Count one check; keep the first `MAX_EXAMPLES` violations as examples for the report."""
         self.checks += 1
         if not holds:
             self.violations += 1
@@ -51,7 +51,7 @@
 
 @dataclass
 class Window:
-    """Something that was done to `target` from `begin` to `end` (wall seconds)."""
+    """Period in which an action affected `target`; `begin` and `end` are wall-clock seconds."""
 
     target: str
     begin: float
@@ -60,7 +60,7 @@
 
 @dataclass
 class RevisionSample:
-    """What one node said it served under."""
+    """Configuration revision and readiness that one node reported at one time."""
 
     at: float
     node: str
@@ -71,7 +71,7 @@
 
 @dataclass
 class Evidence:
-    """Everything the auditor looks at."""
+    """All input of the auditor: account logs, expected prompts, applied actions and samples."""
 
     callers: list[Entry] = field(default_factory=list)
     apps: dict[str, list[Entry]] = field(default_factory=dict)
@@ -93,7 +93,7 @@
     _check_samples(evidence, findings)
     _check_deliveries(evidence, findings["sample_exactly_once"])
     _check_answers(evidence, findings)
-    _check_runs(evidence, findings)
+    _check_executions(evidence, findings)
     _check_leaving(evidence, findings["leaving_gets_no_work"])
     _check_planned_stops(evidence, findings["planned_stop_cuts_nothing"])
     _check_revisions(evidence, findings["config_in_force_never_reverts"])
@@ -104,7 +104,7 @@
 
 
 def _generated_versions(evidence: Evidence) -> dict[str, dict[int, set[int]]]:
-    """For each request, the versions that generated each position, on any sampler."""
+    """Map each request to the weight versions that generated each token position on any sampler."""
     generated: dict[str, dict[int, set[int]]] = defaultdict(lambda: defaultdict(set))
     for entries in evidence.samplers.values():
         for entry in entries:
@@ -122,7 +122,7 @@
         if entry["event"] != "sample":
             continue
         request = f"{evidence.trainer_name}/{entry['step']}/{entry['index']}"
-        true = _segments_are_true(entry, generated.get(request, {}))
+        true = _segments_match_generation(entry, generated.get(request, {}))
         findings["true_weight_versions"].check(true, f"{request}: {entry['segments']}")
         oldest = min(segment[0] for segment in entry["segments"])
         fresh = oldest >= entry["trainer_version"] - evidence.staleness_bound
@@ -134,7 +134,7 @@
             findings["whole_answer"].check(whole, f"{request}: tokens of another sample")
 
 
-def _segments_are_true(entry: Entry, generated: dict[int, set[int]]) -> bool:
+def _segments_match_generation(entry: Entry, generated: dict[int, set[int]]) -> bool:
     expected = 0
     for version, start, end in entry["segments"]:
         if start != expected:
@@ -167,7 +167,7 @@
             findings["whole_answer"].check(whole, f"request {entry['request']}")
 
 
-def _check_runs(evidence: Evidence, findings: dict[str, Finding]) -> None:
+def _check_executions(evidence: Evidence, findings: dict[str, Finding]) -> None:
     runs_by_request: dict[str, list[float]] = defaultdict(list)
     runs_by_operation: dict[str, list[float]] = defaultdict(list)
     for entries in evidence.apps.values():
@@ -199,7 +199,7 @@
     for window in evidence.leaving:
         entries = evidence.apps.get(window.target) or evidence.samplers.get(window.target, [])
         arrivals = [e["at"] for e in entries if "arrived" in e or "operation" in e]
-        late = [at for at in arrivals if window.begin + LEAVING_S < at < window.end]
+        late = [at for at in arrivals if window.begin + LEAVING_GRACE_S < at < window.end]
         example = f"{window.target} got {len(late)} requests after it was leaving"
         finding.check(not late, example)
 
--- a/tests/experiments/test_auditor.py
+++ b/tests/experiments/test_auditor.py
@@ -1,4 +1,4 @@
-"""The auditor must be able to fail: one fabricated violation of each promise."""
+"""The auditor reports each fabricated violation under its own promise and under no other."""
 
 import copy
 
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("break_it", "promise"),
+    ("corrupt", "promise"),
     [
         (wrong_version, "true_weight_versions"),
         (gap_in_versions, "true_weight_versions"),
@@ -119,7 +119,7 @@
         (not_in_force, "config_in_force_never_reverts"),
     ],
 )
-def test_each_violation_is_found_and_no_other(break_it, promise):
+def test_each_violation_is_found_and_no_other(corrupt, promise):
     evidence = clean_evidence()
-    break_it(evidence)
+    corrupt(evidence)
     assert violated(evidence) == {promise}
