--- a/tests/experiments/test_caller.py
+++ b/tests/experiments/test_caller.py
@@ -1,4 +1,4 @@
-"""The caller stand-in's account: what it was told, and when."""
+"""The caller stand-in's account log records the outcome and the time of each attempt."""
 
 import asyncio
 import time
@@ -11,8 +11,10 @@
 
 
 async def test_a_broken_answer_is_dated_when_it_broke():
-    """Found by a control run: broken answers were dated when they were sent, so that the auditor
-    did not see a request that a planned stop cut off in mid-answer."""
+    """Guards against recording the send time as the time of a broken answer.
+
+    The auditor then missed requests that a planned stop cut off while the answer was in progress.
+    """
 
     async def cut_off(request: web.Request) -> web.Response:
         await asyncio.sleep(0.3)
