--- a/src/crankseam_experiments/__init__.py
+++ b/src/crankseam_experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: launcher, load, faults, auditor and reports."""
+"""Experiments on a fleet of processes: launcher, load, fault injection, auditor and reports."""
