--- a/src/crankseam_experiments/comparison.py
+++ b/src/crankseam_experiments/comparison.py
@@ -1,7 +1,7 @@
-"""Runs one load under several policies, paired by seed, and compares them.
+"""Runs the same load under several policies with the same seeds and compares the results.
 
-Owns the table of medians and pairs. Relies on `runner` for each single run; a report is written
-after each seed, so that a comparison cut short leaves what it has.
+This module computes the medians and the paired ratios; `runner` executes each run. The report is
+written after each seed, so that an interrupted comparison keeps the results of finished seeds.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 BASELINE = "least_load"
 ORACLE = "oracle"
 SYSTEM = "crankseam"
-RUNNING = "trainer_idle_fraction_running"
+IDLE_AFTER_FIRST_STEP_FIELD = "trainer_idle_fraction_running"
 
 
 async def run_comparison(
     spec: Experiment, folder: Path, first_seed: int, out: Path
 ) -> dict[str, Any]:
-    """Run every policy with every seed; writes the page with plots beside the report.
+    """Run every policy with every seed; write the report and an HTML page with plots.
 
-    The report is written after each seed, so that a run cut short leaves what it has.
+    Both files are written after each seed, so that an interrupted comparison keeps the results of
+    finished seeds.
     """
     runs: dict[str, list[dict[str, Any]]] = {policy.name: [] for policy in spec.policies}
     report: dict[str, Any] = {}
@@ -35,7 +36,7 @@
         for policy in spec.policies:
             single = await _run_one(spec, folder, seed, out, policy)
             runs[policy.name].append(single)
-            idle = single[RUNNING]
+            idle = single[IDLE_AFTER_FIRST_STEP_FIELD]
             print(f"seed {seed} {policy.name}: idle {idle}", file=sys.stderr, flush=True)
         report = _build_report(spec, first_seed, seed, runs)
         (out / "report.json").write_text(json.dumps(report, indent=2) + "\n", encoding="utf-8")
@@ -52,12 +53,12 @@
         "time_scale": spec.samplers.time_scale,
         "seeds": list(range(first_seed, last_seed + 1)),
         "policies": policies,
-        "paired": _pair(runs),
+        "paired": _paired_idle_ratios(runs),
         "promises": _sum_promises(runs),
         "summary": {
             name: {
                 "idle": policy["trainer_idle_fraction"]["median"],
-                "idle_running": policy[RUNNING]["median"],
+                "idle_running": policy[IDLE_AFTER_FIRST_STEP_FIELD]["median"],
                 "staleness": policy["staleness_versions"],
             }
             for name, policy in policies.items()
@@ -88,7 +89,9 @@
 def _summarise_policy(reports: list[dict[str, Any]]) -> dict[str, Any]:
     return {
         "trainer_idle_fraction": _spread([r["trainer_idle_fraction"] or 0.0 for r in reports]),
-        "trainer_idle_fraction_running": _spread([r[RUNNING] or 0.0 for r in reports]),
+        "trainer_idle_fraction_running": _spread(
+            [r[IDLE_AFTER_FIRST_STEP_FIELD] or 0.0 for r in reports]
+        ),
         "step_seconds_p50": _spread([r["step_seconds"]["p50"] for r in reports]),
         "step_seconds_p99": _spread([r["step_seconds"]["p99"] for r in reports]),
         "staleness_versions": {
@@ -106,20 +109,21 @@
 
 
 def _busy_fraction(report: dict[str, Any]) -> float:
-    """Share of the samplers' time in which they generated, at whatever batch size."""
+    """Fraction of the samplers' time spent generating, regardless of the batch size."""
     totals = report["tokens"].values()
     seconds = sum(item["seconds"] for item in totals) * report["time_scale"]
     return sum(item["busy_seconds"] for item in totals) / seconds if seconds else 0.0
 
 
-def _pair(runs: dict[str, list[dict[str, Any]]]) -> dict[str, dict[str, float]]:
-    """Idle of the system against baseline and oracle, seed by seed."""
+def _paired_idle_ratios(runs: dict[str, list[dict[str, Any]]]) -> dict[str, dict[str, float]]:
+    """Ratios of the system's idle fraction to that of the baseline and the oracle, per seed."""
     paired = {}
     for other in (BASELINE, ORACLE):
         if SYSTEM in runs and other in runs:
             ratios = [
-                (own[RUNNING] or 0.0) / max(1e-9, its[RUNNING] or 0.0)
-                for own, its in zip(runs[SYSTEM], runs[other], strict=True)
+                (own[IDLE_AFTER_FIRST_STEP_FIELD] or 0.0)
+                / max(1e-9, reference[IDLE_AFTER_FIRST_STEP_FIELD] or 0.0)
+                for own, reference in zip(runs[SYSTEM], runs[other], strict=True)
             ]
             paired[f"{SYSTEM}/{other}"] = _spread(ratios)
     return paired
