--- a/src/crankseam_experiments/experiment_run.py
+++ b/src/crankseam_experiments/experiment_run.py
@@ -1,8 +1,8 @@
-"""State of one experiment's run, and what is read from its processes.
+"""State of one experiment run and the figures that are read from its processes.
 
-Owns the run's evidence for the auditor, its clients and measured figures. Relies on the fleet for
-processes and links. Who drives a run (`runner`), breaks it (`fault_injection`) and sums it up
-(`report`) gets this state and is not known here.
+The state holds the evidence for the auditor, the client processes and the measured figures. The
+fleet manages the processes and links. `runner`, `fault_injection` and `report` use this state; this
+module does not import them.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from crankseam_standins.account import read_account
 from crankseam_standins.trainer import TrainerPlan, TrainerStandin
 
-WATCH_S = 0.25
-"""Between two looks at what each node serves under."""
+STATUS_POLL_INTERVAL_S = 0.25
+"""Seconds between two polls of the status of all nodes."""
 
 
 class ExperimentRun:
-    """State of one run."""
+    """Fleet, client processes, evidence and measured figures of one run."""
 
     def __init__(
         self, spec: Experiment, folder: Path, seed: int, out: Path, weakened: str | None
@@ -53,11 +53,11 @@
     # --- load
 
     def document(self, kind: type) -> Any:
-        """The first document of a kind."""
+        """Return the first configuration document of type `kind`."""
         return next(d for d in self.fleet.documents if isinstance(d, kind))
 
     async def apply_configuration(self) -> None:
-        """Apply the experiment's files as an operator would."""
+        """Apply the experiment's configuration through a plan, as an operator does."""
         client = KeyValueClient([self.spec.platform.key_value])
         try:
             plan = await make_plan(client, self.fleet.documents)
@@ -67,7 +67,7 @@
             await client.close()
 
     def trainer_plan(self) -> TrainerPlan:
-        """The trainer's plan, for its process and for the auditor."""
+        """Build the plan that the trainer process and the auditor share."""
         load = self.spec.trainer
         assert load is not None
         policy = self.document(WeightPolicy)
@@ -88,7 +88,7 @@
         )
 
     def plan_clients(self) -> None:
-        """Prepare the trainer's and the callers' processes."""
+        """Prepare the trainer and caller processes without starting them."""
         if self.spec.trainer is not None:
             plan = json.dumps(dataclasses.asdict(self.trainer_plan()))
             self._add_client("trainer", plan)
@@ -113,11 +113,11 @@
         self.clients[kind] = ManagedProcess(kind, command, None, self.out)
 
     async def watch_nodes(self) -> None:
-        """Write down what each node says it serves under, for the auditor."""
+        """Record the readiness and revision that each node reports, for the auditor."""
         while True:
             for name, address in self.fleet.node_addresses.items():
                 await self._watch_node(name, address)
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(STATUS_POLL_INTERVAL_S)
 
     async def _watch_node(self, name: str, address: str) -> None:
         timeout = aiohttp.ClientTimeout(total=0.5)
@@ -126,32 +126,32 @@
             async with self.fleet.session.get(url, timeout=timeout) as answer:
                 status = await answer.json()
         except (aiohttp.ClientError, TimeoutError, ValueError):
-            return  # a node that is down, cut off or frozen serves under nothing
+            return  # a node that is down, unreachable or paused reports no revision
         sample = RevisionSample(time.time(), name, status["ready"], status["revision"])
         self.evidence.revisions.append(sample)
 
     async def measure_samplers(self) -> None:
-        """Tokens made, and busy time, of each sampler; emulated seconds."""
+        """Record the generated tokens, and the busy and total emulated seconds, of each sampler."""
         pool = self.document(SamplerPool)
         for sampler in pool.samplers:
             try:
                 async with self.fleet.session.get(f"http://{sampler.address}/_account") as answer:
                     account = await answer.json()
             except (aiohttp.ClientError, TimeoutError):
-                continue  # it was killed last: the report lacks its figures
+                continue  # the sampler is not running: the report omits its figures
             self.sampler_totals[sampler.name] = {
                 name: account[name] for name in ("tokens", "busy_seconds", "seconds")
             }
 
     async def measure_control(self) -> None:
-        """Processor time and peer traffic of each node since it started."""
+        """Record control-plane counters of each node since it started, such as CPU time."""
         wanted = ("cpu_seconds", "peer_bytes_sent", "key_value_requests", "slot_moves")
         for name, address in self.fleet.node_addresses.items():
             try:
                 async with self.fleet.session.get(f"http://{address}/metrics") as answer:
                     text = await answer.text()
             except (aiohttp.ClientError, TimeoutError):
-                continue  # it was killed last: the report lacks its figures
+                continue  # the node is not running: the report omits its figures
             lines = [line.split() for line in text.splitlines() if not line.startswith("#")]
             values = {line[0]: float(line[1]) for line in lines}
             self.control[name] = {item: values[f"crankseam_{item}"] for item in wanted}
@@ -159,7 +159,7 @@
     # --- audit
 
     def collect_evidence(self) -> Evidence:
-        """Read the accounts of all stand-ins."""
+        """Read the account logs of all stand-ins and complete the auditor's evidence."""
         evidence = self.evidence
         evidence.callers = read_account(self.fleet.account("caller"))
         evidence.trainer = read_account(self.fleet.account("trainer"))
@@ -185,7 +185,7 @@
         return evidence
 
     def client_report(self, kind: str) -> dict[str, Any]:
-        """What a client printed at its end."""
+        """Parse the last line that a client printed as JSON; an empty dict if there is none."""
         client = self.clients.get(kind)
         lines = client.stdout.decode().strip().splitlines() if client else []
         return json.loads(lines[-1]) if lines else {}
