--- a/src/crankseam_experiments/fault_injection.py
+++ b/src/crankseam_experiments/fault_injection.py
@@ -1,8 +1,9 @@
-"""Injects faults into a running fleet, chosen and timed by the seed.
+"""Injects faults into a running fleet; the seed determines their choice and timing.
 
-Owns which faults are under way and which nodes and stand-ins they hold, so that two do not meet at
-one. Each method `_NAME` carries out the fault that an experiment file calls NAME. What the auditor
-must know (planned stops, leaving back ends, accepted changes) goes into the run's evidence.
+The injector tracks the faults in progress and reserves the processes that node, kill and leave
+faults act on, so that no two such faults affect the same process at a time. The method `_NAME`
+implements the fault kind NAME of experiment files. Planned stops, leaving back ends and accepted
+configuration changes are added to the run's evidence for the auditor.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 from crankseam_experiments.experiment_run import ExperimentRun
 
 RECOVERY_TIMEOUT_S = 40.0
-"""A node that is not ready by then counts as recovered after this."""
-LEAVE_S = 5.0
-"""A back end says so long that it is leaving; it must get no work after 2 s of it."""
-LONG_CUT_S = 9.0
-"""Longer than `configuration_term` and `dead_after` together."""
+"""Maximum wait for a node to become ready; recorded as its recovery time on a time-out."""
+LEAVING_DURATION_S = 5.0
+"""Seconds for which a back end reports that it is leaving; it must get no work after 2 s."""
+ISOLATION_DURATION_S = 9.0
+"""Seconds of isolation of a node; longer than the sum of `configuration_term` and `dead_after`."""
 
 
 class FaultInjector:
-    """Carries out the fault plan of one run."""
+    """Executes the fault plan of one run."""
 
     def __init__(self, run: ExperimentRun) -> None:
         self._run = run
@@ -37,24 +38,24 @@
         self._plan = run.spec.faults
         self._random = run.random
         self._restarted: set[str] = set()
-        self._busy: set[str] = set()
+        self._reserved: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self.injected: Counter[str] = Counter()
         self.recovery_seconds: list[float] = []
 
-    def may_restart(self, client: str) -> bool:
-        """Whether this client ended because a fault killed it; it was started again then."""
+    def consume_restart(self, client: str) -> bool:
+        """Whether a fault killed this client and restarts it; clears the mark of that restart."""
         if client in self._restarted:
             self._restarted.discard(client)
             return True
         return False
 
     async def run(self) -> None:
-        """Inject all faults of the plan."""
+        """Inject all faults of the plan and wait until they have ended."""
         if self._plan is None or self._plan.count == 0:
             return
         await asyncio.sleep(self._plan.first_at)
-        # Every kind once before any comes twice; then by chance.
+        # Each kind occurs once, in random order, before kinds are drawn at random.
         order = list(self._plan.kinds)
         self._random.shuffle(order)
         while len(order) < self._plan.count:
@@ -70,23 +71,23 @@
             await asyncio.wait(self._tasks)
 
     async def finish(self) -> None:
-        """Undo what is still in place, so that the fleet can stop."""
+        """Cancel faults, restore links and resume paused nodes, so that the fleet can stop."""
         for task in list(self._tasks):
             task.cancel()
         if self._fleet.links is not None:
-            self._fleet.links.mend_all()
+            self._fleet.links.restore_all()
         for node in self._fleet.nodes.values():
             node.signal(signal.SIGCONT)
 
-    # --- choosing
+    # --- selection of targets
 
     def _duration(self) -> float:
         assert self._plan is not None
         return self._plan.duration * self._random.uniform(0.3, 1.5)
 
     def _pick_node(self) -> str | None:
-        """A node that no other fault has in hand."""
-        free = [name for name in self._fleet.nodes if name not in self._busy]
+        """Choose a random node that no other fault has reserved; None if there is none."""
+        free = [name for name in self._fleet.nodes if name not in self._reserved]
         return self._random.choice(free) if free else None
 
     def _address(self, name: str) -> str:
@@ -103,14 +104,14 @@
 
     def _samplers(self) -> list[str]:
         pool = self._run.document(SamplerPool)
-        return [sampler.name for sampler in pool.samplers if sampler.name not in self._busy]
+        return [sampler.name for sampler in pool.samplers if sampler.name not in self._reserved]
 
     def _apps(self) -> list[str]:
         service = self._run.document(Service)
-        return [item.name for item in service.back_ends if item.name not in self._busy]
+        return [item.name for item in service.back_ends if item.name not in self._reserved]
 
-    async def _note_recovery(self, name: str) -> None:
-        """Measure how long a started node takes until it takes work."""
+    async def _measure_recovery(self, name: str) -> None:
+        """Record the time until a restarted or resumed node is ready for work."""
         started = time.monotonic()
         address = self._fleet.node_addresses[name]
         while time.monotonic() - started < RECOVERY_TIMEOUT_S:
@@ -126,31 +127,31 @@
         name = self._pick_node()
         if name is None:
             return
-        self._busy.add(name)
+        self._reserved.add(name)
         node = self._fleet.nodes[name]
         await node.kill()
         await asyncio.sleep(self._duration())
         await node.start()
-        await self._note_recovery(name)
-        self._busy.discard(name)
+        await self._measure_recovery(name)
+        self._reserved.discard(name)
 
     async def _pause_node(self) -> None:
         name = self._pick_node()
         if name is None:
             return
-        self._busy.add(name)
+        self._reserved.add(name)
         node = self._fleet.nodes[name]
         node.signal(signal.SIGSTOP)
         await asyncio.sleep(self._duration() * 2)
         node.signal(signal.SIGCONT)
-        await self._note_recovery(name)
-        self._busy.discard(name)
+        await self._measure_recovery(name)
+        self._reserved.discard(name)
 
     async def _planned_stop(self) -> None:
         name = self._pick_node()
         if name is None:
             return
-        self._busy.add(name)
+        self._reserved.add(name)
         node = self._fleet.nodes[name]
         begin = time.time()
         code = await node.stop()
@@ -159,12 +160,12 @@
         if code != 0:
             print(f"{name} stopped with {code}", file=sys.stderr)
         await node.start()
-        await self._note_recovery(name)
-        self._busy.discard(name)
+        await self._measure_recovery(name)
+        self._reserved.discard(name)
 
     # --- links
 
-    async def _with_cut(self, pairs: list[tuple[str, str]]) -> None:
+    async def _cut_temporarily(self, pairs: list[tuple[str, str]]) -> None:
         links = self._fleet.links
         assert links is not None
         for source, target in pairs:
@@ -179,17 +180,17 @@
 
     async def _cut_link(self) -> None:
         first, second = self._pick_pair()
-        await self._with_cut([(first, second), (second, first)])
+        await self._cut_temporarily([(first, second), (second, first)])
 
     async def _cut_one_way(self) -> None:
-        await self._with_cut([self._pick_pair()])
+        await self._cut_temporarily([self._pick_pair()])
 
     async def _cut_zone(self) -> None:
         zone = self._random.choice(self._run.spec.zones)
         inside = [n for n, z in self._fleet.node_zones.items() if z == zone]
         outside = [n for n, z in self._fleet.node_zones.items() if z != zone]
         pairs = [(a, b) for a in inside for b in outside]
-        await self._with_cut(pairs + [(b, a) for a, b in pairs])
+        await self._cut_temporarily(pairs + [(b, a) for a, b in pairs])
 
     async def _slow_link(self) -> None:
         links = self._fleet.links
@@ -205,24 +206,24 @@
 
     async def _key_value_down(self) -> None:
         duration = self._duration() * 2
-        await self._fleet.order_fault(self._run.spec.platform.key_value, down_seconds=duration)
+        await self._fleet.request_fault(self._run.spec.platform.key_value, down_seconds=duration)
         await asyncio.sleep(duration)
 
     async def _key_value_slow(self) -> None:
         address = self._run.spec.platform.key_value
-        await self._fleet.order_fault(address, delay=1.0)
+        await self._fleet.request_fault(address, delay=1.0)
         await asyncio.sleep(self._duration())
-        await self._fleet.order_fault(address, delay=0.0)
+        await self._fleet.request_fault(address, delay=0.0)
 
     async def _lose_answers(self) -> None:
-        await self._fleet.order_fault(self._run.spec.platform.key_value, lose_answers=2)
+        await self._fleet.request_fault(self._run.spec.platform.key_value, lose_answers=2)
         await self._race_operators()
 
     async def _lapse_leases(self) -> None:
-        await self._fleet.order_fault(self._run.spec.platform.key_value, lapse_leases=True)
+        await self._fleet.request_fault(self._run.spec.platform.key_value, lapse_leases=True)
 
     async def _race_operators(self) -> None:
-        """Two operators plan from the same revision and both apply."""
+        """Let two operators plan from the same revision and apply their plans concurrently."""
         key_values = [KeyValueClient([self._run.spec.platform.key_value]) for _ in range(2)]
         try:
             await asyncio.gather(
@@ -247,7 +248,7 @@
             print(f"operator {index}: {type(error).__name__}", file=sys.stderr)
 
     async def _change_while_cut(self) -> None:
-        """A node loses all others, and meanwhile the configuration changes."""
+        """Isolate one node from all other nodes and change the configuration meanwhile."""
         name = self._random.choice(list(self._fleet.nodes))
         others = [other for other in self._fleet.nodes if other != name]
         pairs = [(name, other) for other in others] + [(other, name) for other in others]
@@ -258,20 +259,20 @@
         client = KeyValueClient([self._run.spec.platform.key_value])
         await self._change_limit(client, 0)
         await client.close()
-        await asyncio.sleep(LONG_CUT_S)
+        await asyncio.sleep(ISOLATION_DURATION_S)
         for source, target in pairs:
             links.set_cut(source, target, False)
 
     # --- back ends
 
     async def _restart_standin(self, name: str) -> None:
-        self._busy.add(name)
+        self._reserved.add(name)
         standin = self._fleet.standins[name]
         await standin.kill()
         await asyncio.sleep(self._duration())
         await standin.start()
         await standin.wait_until_up(self._fleet.session)
-        self._busy.discard(name)
+        self._reserved.discard(name)
 
     async def _kill_sampler(self) -> None:
         if len(names := self._samplers()) > 2:
@@ -284,17 +285,17 @@
     async def _lose_app_answers(self) -> None:
         if names := self._apps():
             address = self._address(self._random.choice(names))
-            await self._fleet.order_fault(address, lose_answers=3)
+            await self._fleet.request_fault(address, lose_answers=3)
 
     async def _leave(self, name: str) -> None:
-        self._busy.add(name)
+        self._reserved.add(name)
         address = self._address(name)
-        await self._fleet.order_fault(address, leaving=True)
+        await self._fleet.request_fault(address, leaving=True)
         begin = time.time()
-        await asyncio.sleep(LEAVE_S)
+        await asyncio.sleep(LEAVING_DURATION_S)
         self._run.evidence.leaving.append(Window(name, begin, time.time()))
-        await self._fleet.order_fault(address, leaving=False)
-        self._busy.discard(name)
+        await self._fleet.request_fault(address, leaving=False)
+        self._reserved.discard(name)
 
     async def _leave_app(self) -> None:
         if len(names := self._apps()) > 1:
@@ -306,17 +307,17 @@
 
     async def _break_streams(self) -> None:
         if names := self._samplers():
-            await self._fleet.order_fault(
+            await self._fleet.request_fault(
                 self._address(self._random.choice(names)), break_streams=8
             )
 
     async def _fail_loads(self) -> None:
         if names := self._samplers():
             address = self._address(self._random.choice(names))
-            await self._fleet.order_fault(address, fail_loads=4)
+            await self._fleet.request_fault(address, fail_loads=4)
 
     async def _kill_trainer(self) -> None:
-        """Kill the trainer in mid-step; it starts again from its journal."""
+        """Kill the trainer during a step and start it again; it resumes from its journal."""
         trainer = self._run.clients.get("trainer")
         if trainer is None or not trainer.is_running():
             return
--- a/src/crankseam_experiments/fleet.py
+++ b/src/crankseam_experiments/fleet.py
@@ -1,7 +1,7 @@
 """A fleet of separate processes: stand-ins, nodes, and the links between nodes.
 
-Owns the processes and their settings files. Nodes listen on 127.0.BASE.N with the same ports, so
-two fleets at a time need different bases.
+The fleet manages the processes and writes the nodes' settings files. Nodes listen on 127.0.BASE.N
+with the same ports, so two fleets that run at the same time need different values of BASE.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from crankseam_experiments.spec import Experiment
 
 CALLER_PORT = 7080
-"""Of every node, on its own loopback address."""
+"""Port for callers; the same for every node, each on its own loopback address."""
 PEER_PORT = 7081
-"""Where a node listens to other nodes."""
+"""Port on which a node listens for its peers."""
 PROXY_PORT = 7082
-"""Where other nodes reach it if its links can be cut."""
+"""Port on which the link proxy listens for a node's peers, if link faults are enabled."""
 READY_TIMEOUT_S = 40.0
-"""Until all nodes take work; a busy machine needs most of it."""
+"""Maximum wait until all nodes are ready; a heavily loaded machine needs most of it."""
 
 
 class Fleet:
-    """Everything that runs for one experiment."""
+    """Stand-ins, nodes and link proxy of one experiment."""
 
     def __init__(
         self, spec: Experiment, folder: Path, out: Path, use_links: bool, weakened: str | None
@@ -52,10 +52,10 @@
         self.session: aiohttp.ClientSession
 
     def account(self, name: str) -> Path:
-        """Where a stand-in writes its account."""
+        """Path of the account log of the stand-in `name`."""
         return self.out / f"{name}.account.jsonl"
 
-    # --- building
+    # --- construction
 
     def _add_standin(self, name: str, kind: str, address: str, *extra: str) -> None:
         command = standin_command(
@@ -121,7 +121,7 @@
                 self.node_zones[name] = zone
 
     def peer_address(self, host: str) -> str:
-        """Where peers reach the node at `host`: directly, or through its link proxy."""
+        """Address at which peers reach the node at `host`: its own, or that of its link proxy."""
         if self.links is None:
             return f"{host}:{PEER_PORT}"
         return f"{host}:{PROXY_PORT}"
@@ -148,10 +148,10 @@
         ]
         return "\n".join(lines) + "\n"
 
-    # --- running
+    # --- lifecycle
 
     async def start(self) -> None:
-        """Start everything and wait until it is up."""
+        """Start the link proxy, the stand-ins and the nodes; wait until all processes are up."""
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=5.0))
         self._plan_standins()
         self._plan_nodes()
@@ -165,30 +165,30 @@
         await asyncio.gather(*(process.wait_until_up(self.session) for process in processes))
 
     async def wait_until_ready(self) -> None:
-        """Until every node takes new work."""
+        """Wait until every node is ready for new work."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             for address in self.node_addresses.values():
                 while not await self.is_ready(address):
                     await asyncio.sleep(0.05)
 
     async def is_ready(self, address: str) -> bool:
-        """Whether one node takes new work."""
+        """Whether the node at `address` is ready for new work."""
         try:
             async with self.session.get(f"http://{address}/readyz") as answer:
                 return answer.status == 200
         except (aiohttp.ClientError, TimeoutError):
-            return False  # down or frozen: not ready
+            return False  # the node is down or paused
 
-    async def order_fault(self, address: str, **fault: Any) -> None:
-        """Ask a stand-in for a fault."""
+    async def request_fault(self, address: str, **fault: Any) -> None:
+        """Tell the stand-in at `address` to inject a fault; ignore a stand-in that is down."""
         try:
             async with self.session.post(f"http://{address}/_faults", json=fault):
                 pass
         except (aiohttp.ClientError, TimeoutError):
-            pass  # a stand-in that was killed needs no further fault
+            pass  # a stand-in that was killed needs no additional fault
 
     async def stop(self) -> dict[str, int]:
-        """Stop all; nodes first, gracefully. Returns exit codes of the nodes."""
+        """Stop the nodes gracefully, then the stand-ins; return the exit codes of the nodes."""
         codes = {}
         for name, node in self.nodes.items():
             if node.is_running():
@@ -202,7 +202,7 @@
         return codes
 
     async def kill_all(self) -> None:
-        """End every process that still runs."""
+        """Kill every node and stand-in that is still running."""
         for process in [*self.nodes.values(), *self.standins.values()]:
             if process.is_running():
                 await process.kill()
--- a/src/crankseam_experiments/links.py
+++ b/src/crankseam_experiments/links.py
@@ -1,7 +1,7 @@
-"""Links between nodes that can be cut, one way or both, and slowed: a TCP relay before each node.
+"""TCP relays in front of the nodes that cut or delay links between nodes, per direction.
 
-Each node calls from its own loopback address, so the relay knows who calls whom. A cut link
-swallows bytes without closing, as a lost network does.
+Each node connects from its own loopback address, which identifies the source of a connection. A cut
+link holds bytes back without closing the connection, as in a network partition.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from dataclasses import dataclass
 
 CHUNK_BYTES = 64 * 1024
-"""Read at a time."""
+"""Maximum number of bytes per read."""
 
 
 @dataclass
 class Link:
-    """State of one direction between two hosts."""
+    """State of the link from one host to another: `delay` is in seconds per chunk."""
 
     cut: bool = False
     delay: float = 0.0
 
 
 class LinkProxy:
-    """All relays of a fleet."""
+    """TCP relays of all nodes of a fleet."""
 
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
@@ -31,7 +31,7 @@
         self._pipes: set[asyncio.Task[None]] = set()
 
     async def open(self, name: str, host: str, proxy_port: int, peer_port: int) -> None:
-        """Relay host:proxy_port to the node at host:peer_port."""
+        """Start a relay from host:proxy_port to the node `name` at host:peer_port."""
         self._hosts[name] = host
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -39,11 +39,11 @@
             try:
                 upstream = await asyncio.open_connection(host, peer_port)
             except OSError:
-                writer.close()  # the node is down: its caller sees a closed connection
+                writer.close()  # the node is down: the connecting peer sees a closed connection
                 return
-            there = asyncio.create_task(self._pipe(reader, upstream[1], caller, host))
-            back = asyncio.create_task(self._pipe(upstream[0], writer, host, caller))
-            for task in (there, back):
+            forward_pipe = asyncio.create_task(self._pipe(reader, upstream[1], caller, host))
+            backward_pipe = asyncio.create_task(self._pipe(upstream[0], writer, host, caller))
+            for task in (forward_pipe, backward_pipe):
                 self._pipes.add(task)
                 task.add_done_callback(self._pipes.discard)
 
@@ -62,13 +62,13 @@
                 writer.write(data)
                 await writer.drain()
         except (OSError, asyncio.CancelledError):
-            pass  # one end is gone, or the run is over: the other end is closed below
+            pass  # one end closed, or the run ended: the other end is closed below
         finally:
             writer.close()
 
     @staticmethod
     async def _wait_while_cut(link: Link, writer: asyncio.StreamWriter) -> bool:
-        """Hold bytes back while the link is cut; False once the connection is gone."""
+        """Wait while the link is cut; return False if the connection closes meanwhile."""
         while link.cut:
             await asyncio.sleep(0.02)
             if writer.is_closing():
@@ -79,21 +79,21 @@
         return self._links.setdefault((source, target), Link())
 
     def set_cut(self, source: str, target: str, cut: bool) -> None:
-        """Cut or mend one direction between two nodes, by name."""
+        """Cut or restore the link from node `source` to node `target`."""
         self._link(self._hosts[source], self._hosts[target]).cut = cut
 
     def set_delay(self, source: str, target: str, delay: float) -> None:
-        """Slow one direction down by `delay` seconds for each chunk."""
+        """Delay each chunk from node `source` to node `target` by `delay` seconds."""
         self._link(self._hosts[source], self._hosts[target]).delay = delay
 
-    def mend_all(self) -> None:
-        """Undo all cuts and delays."""
+    def restore_all(self) -> None:
+        """Restore all links: remove all cuts and delays."""
         for link in self._links.values():
             link.cut = False
             link.delay = 0.0
 
     async def close(self) -> None:
-        """Stop relaying."""
+        """Stop listening and cancel the relayed connections."""
         for server in self._servers:
             server.close()
         for task in list(self._pipes):
--- a/src/crankseam_experiments/runner.py
+++ b/src/crankseam_experiments/runner.py
@@ -1,7 +1,7 @@
 """Runs one experiment with separate processes: load, faults, audit, report.
 
-Owns the order of a run's parts and the rule by which a control run passes. Relies on
-`experiment_run` for the run's state.
+This module defines the order of the phases of a run and the criterion by which a control run
+passes. `experiment_run` holds the state of the run.
 """
 
 from __future__ import annotations
@@ -20,15 +20,18 @@
 from crankseam_experiments.weakened_node import WEAKENINGS
 
 CONTROL_FAULTS = 6
-"""Faults of a control run; each shows the missing mechanism. Origin not recorded."""
+"""Number of faults in a control run; each one exposes the missing mechanism."""
 CONTROL_IN_FORCE_S = 5.0
-"""Bound of a change in a control run; the 15 s of other runs would hide what is missing."""
+"""Maximum seconds until a change is in force in a control run.
+
+The 15 s of other runs would hide the missing mechanism.
+"""
 LOAD_TIMEOUT_S = 400.0
-"""Until all clients are done; then the run has failed."""
+"""Maximum wait for all clients and faults to finish; the run fails after this."""
 
 
 async def run_load(run: ExperimentRun) -> None:
-    """Start the clients, inject faults meanwhile, wait until all clients are done."""
+    """Start the clients, inject faults and wait until all clients and faults have finished."""
     run.plan_clients()
     for client in run.clients.values():
         await client.start()
@@ -53,7 +56,7 @@
 async def _wait_for_client(run: ExperimentRun, name: str, injector: FaultInjector) -> None:
     client = run.clients[name]
     code = await client.wait()
-    while code != 0 and injector.may_restart(name):
+    while code != 0 and injector.consume_restart(name):
         while not client.is_running():
             await asyncio.sleep(0.05)
         code = await client.wait()
@@ -61,7 +64,7 @@
 
 
 def weaken_experiment(spec: Experiment, promise: str) -> Experiment:
-    """The same experiment as a control run: only the faults under which the absence shows."""
+    """Derive the control run for `promise`, with only the faults that expose its violation."""
     assert spec.faults is not None
     weakening = WEAKENINGS[promise]
     faults = spec.faults.model_copy(
@@ -81,7 +84,7 @@
 
 
 def with_policy(document: Document, policy: Policy) -> Document:
-    """The document with a policy's overrides."""
+    """Return the document with the overrides of `policy` applied."""
     if isinstance(document, Trainer):
         update: dict[str, Any] = {"sample_order": policy.sample_order}
         if policy.idle_weight is not None:
@@ -92,8 +95,8 @@
     return document
 
 
-def judge_control(report: dict[str, Any], promise: str) -> None:
-    """A control run passes if the auditor found the promise violated."""
+def evaluate_control_run(report: dict[str, Any], promise: str) -> None:
+    """Mark a control run as passed if the auditor found a violation of `promise`."""
     found = next(item for item in report["promises"] if item["name"] == promise)
     report["weakened"] = promise
     report["passed"] = found["violations"] > 0
@@ -109,7 +112,7 @@
     weakened: str | None = None,
     policy: Policy | None = None,
 ) -> dict[str, Any]:
-    """Run the experiment to its end and return its report.
+    """Run the experiment to completion and return its report.
 
     Args:
         weakened: a promise whose mechanism is switched off on every node.
@@ -139,5 +142,5 @@
         await run.fleet.kill_all()
     report = build_report(run, codes)
     if weakened is not None:
-        judge_control(report, weakened)
+        evaluate_control_run(report, weakened)
     return report
