--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -1,7 +1,8 @@
-"""Measures what one node adds to a small app request: straight and through a node, in turn.
+"""Measures the latency that one node adds to a small app request.
 
-The table of README.md is made by it. Ways take turns within one run, so that the machine's load
-weighs on all alike.
+Requests go directly to the back end, through a node as a read, and through a node as a claimed
+request. The three paths alternate within one run, so that the load of the machine affects all of
+them equally. The latency table in README.md shows these figures.
 """
 
 from __future__ import annotations
@@ -20,35 +21,35 @@
 from crankseam_experiments.spec import Experiment
 
 REQUESTS = 2000
-"""Measured each way: enough that 20 lie above the 99th percentile."""
+"""Measured requests per path: enough for 20 of them to lie above the 99th percentile."""
 WARM_UP = 200
-"""Sent each way before, and not counted."""
+"""Requests sent per path before the measurement; they are not counted."""
 BODY = b"slot-1"
-WAYS = ("straight", "node_read", "node_claimed")
+REQUEST_PATHS = ("straight", "node_read", "node_claimed")
 
 
 class LatencyRun:
-    """Sends requests one at a time, each way in turn."""
+    """Sends requests one at a time, alternating between the paths."""
 
     def __init__(self, run: ExperimentRun) -> None:
         service: Service = run.document(Service)
-        self._straight = f"http://{service.back_ends[0].address}/bookings"
+        self._direct_url = f"http://{service.back_ends[0].address}/bookings"
         node = next(iter(run.fleet.node_addresses.values()))
-        self._through = f"http://{node}/services/{service.name}/bookings"
-        self.milliseconds: dict[str, list[float]] = {way: [] for way in WAYS}
+        self._node_url = f"http://{node}/services/{service.name}/bookings"
+        self.milliseconds: dict[str, list[float]] = {path: [] for path in REQUEST_PATHS}
 
     async def run(self) -> None:
-        """Warm up, then measure."""
+        """Send the warm-up requests, then record the latencies in `milliseconds`."""
         async with aiohttp.ClientSession() as self._session:
             for number in range(WARM_UP + REQUESTS):
-                for way in WAYS:
-                    took = await self._send(way)
+                for path in REQUEST_PATHS:
+                    took = await self._send(path)
                     if number >= WARM_UP:
-                        self.milliseconds[way].append(took)
+                        self.milliseconds[path].append(took)
 
-    async def _send(self, way: str) -> float:
-        url = self._straight if way == "straight" else self._through
-        method = "POST" if way == "node_claimed" else "GET"
+    async def _send(self, path: str) -> float:
+        url = self._direct_url if path == "straight" else self._node_url
+        method = "POST" if path == "node_claimed" else "GET"
         headers = {"Idempotency-Key": new_dated_id()}
         started = time.perf_counter()
         async with self._session.request(method, url, data=BODY, headers=headers) as answer:
@@ -63,7 +64,7 @@
 
 
 async def run_latency(spec: Experiment, folder: Path, seed: int, out: Path) -> dict[str, Any]:
-    """Run and return the report."""
+    """Run the latency experiment, write its HTML page and return its report."""
     run = ExperimentRun(spec, folder, seed, out, weakened=None)
     try:
         await run.fleet.start()
@@ -74,7 +75,7 @@
         codes = await run.fleet.stop()
     finally:
         await run.fleet.kill_all()
-    summary = {way: _describe(values) for way, values in latency.milliseconds.items()}
+    summary = {path: _describe(values) for path, values in latency.milliseconds.items()}
     report = {
         "name": spec.name,
         "requests_each_way": REQUESTS,
