--- a/src/crankseam_experiments/plots.py
+++ b/src/crankseam_experiments/plots.py
@@ -1,6 +1,6 @@
-"""Plots and pages of reports: one HTML file, offline, with the figures inside.
+"""Writes a report and its plots as one self-contained HTML file with embedded images.
 
-Owns the page's form. Relies on matplotlib and on the accounts that stand-ins wrote.
+The plots are drawn with matplotlib, partly from the account logs that the stand-ins wrote.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def write_page(title: str, figures: list[Figure], report: dict[str, Any], out: Path) -> None:
-    """Write report.html."""
+    """Write report.html with the figures and the report as JSON."""
     page = PAGE.format(
         title=html.escape(title),
         figures="".join(_image(figure) for figure in figures),
@@ -49,7 +49,11 @@
 def write_comparison_report(
     report: dict[str, Any], runs: dict[str, list[dict[str, Any]]], out: Path
 ) -> None:
-    """Idle and staleness by policy; timelines, lengths and staleness of the first seed."""
+    """Write the HTML page of a comparison.
+
+    The page shows idle fraction, staleness and sampler utilisation by policy, and timelines, sample
+    lengths and staleness for the first seed.
+    """
     names = list(report["policies"])
     figure, axes = plt.subplots(1, 3, figsize=(14, 4))
     for position, name in enumerate(names):
@@ -89,13 +93,15 @@
 
 
 def _timeline(name: str, folder: Path) -> Figure:
-    """Tokens of each step on each sampler, over time."""
+    """Plot when each sampler generated tokens, coloured by training step."""
     entries = _sampler_entries(folder)
-    begin = min((e["at"] for found in entries.values() for e in found), default=0.0)
+    begin = min(
+        (e["at"] for sampler_entries in entries.values() for e in sampler_entries), default=0.0
+    )
     figure, axis = plt.subplots(figsize=(14, 2.5))
-    for row, found in enumerate(entries.values()):
-        times = [entry["at"] - begin for entry in found]
-        steps = [int(entry["request"].split("/")[1]) for entry in found]
+    for row, sampler_entries in enumerate(entries.values()):
+        times = [entry["at"] - begin for entry in sampler_entries]
+        steps = [int(entry["request"].split("/")[1]) for entry in sampler_entries]
         axis.scatter(times, [row] * len(times), c=steps, cmap="tab10", s=3, marker="|")
     axis.set_yticks(range(len(entries)), list(entries))
     axis.set_title(f"{name}: which step each sampler works on, by second")
