--- a/src/crankseam_experiments/processes.py
+++ b/src/crankseam_experiments/processes.py
@@ -1,6 +1,7 @@
-"""Starts and signals the processes of an experiment. A rig, not part of the system.
+"""Starts and signals the processes of an experiment; test tooling, not part of the service.
 
-Owns each process that it started and nothing else; the commands of stand-ins and nodes stand here.
+Only processes that this module started are signalled. It also builds the command lines of stand-ins
+and nodes.
 """
 
 from __future__ import annotations
@@ -14,20 +15,23 @@
 import aiohttp
 
 START_TIMEOUT_S = 30.0
-"""Until a process answers at its health URL."""
+"""Maximum wait until a process answers at its health URL."""
 STOP_TIMEOUT_S = 15.0
-"""From SIGTERM to a kill."""
+"""Seconds from SIGTERM to SIGKILL."""
 POLL_S = 0.05
-"""Between two looks at a health URL."""
+"""Seconds between two requests to a health URL."""
 
 
 class ProcessFailed(Exception):
-    """A process of the experiment ended or did not come up."""
+    """A process of the experiment ended before it was up."""
 
 
 @dataclass
 class ManagedProcess:
-    """One process, its command, and how to see that it is up."""
+    """One process with its command and the health URL that shows whether it is up.
+
+    A process without a health URL is a client; its standard output is kept in `stdout`.
+    """
 
     name: str
     command: list[str]
@@ -37,7 +41,7 @@
     stdout: bytes = b""
 
     async def start(self) -> None:
-        """Start it; its output goes to the log folder."""
+        """Start the process; stderr, and stdout if there is a health URL, go to the log folder."""
         errors = (self.log_folder / f"{self.name}.log").open("ab")
         self.process = await asyncio.create_subprocess_exec(
             *self.command,
@@ -48,7 +52,12 @@
         errors.close()
 
     async def wait_until_up(self, session: aiohttp.ClientSession) -> None:
-        """Wait until its health URL answers 200."""
+        """Wait until the health URL answers 200.
+
+        Raises:
+            ProcessFailed: the process ended first.
+            TimeoutError: `START_TIMEOUT_S` passed, or a request to the health URL timed out.
+        """
         assert self.health_url is not None and self.process is not None
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
@@ -63,22 +72,22 @@
                 await asyncio.sleep(POLL_S)
 
     def is_running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.is_running():
             assert self.process is not None
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End it at once."""
+        """Send SIGKILL and wait for the process to end."""
         self.signal(signal.SIGKILL)
         await self.wait()
 
     async def stop(self) -> int:
-        """Ask it to stop and wait; kill it if it does not. Returns its exit code."""
+        """Send SIGTERM and return the exit code; after `STOP_TIMEOUT_S`, kill and return -1."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
@@ -89,7 +98,7 @@
             return -1
 
     async def wait(self) -> int:
-        """Wait for its end; keeps what it printed."""
+        """Wait for the process to end, keep its output and return its exit code."""
         assert self.process is not None
         if self.process.stdout is not None:
             self.stdout += (await self.process.communicate())[0] or b""
@@ -97,12 +106,16 @@
 
 
 def standin_command(kind: str, *arguments: str) -> list[str]:
-    """Command line of a stand-in."""
+    """Build the command line of a stand-in of type `kind`."""
     return [sys.executable, "-m", "crankseam_standins.main", kind, *arguments]
 
 
 def node_command(settings: Path, weakened: str | None = None) -> list[str]:
-    """Command line of a node; `weakened` names a promise whose mechanism it lacks."""
+    """Build the command line of a node.
+
+    Args:
+        weakened: a promise whose mechanism is switched off in this node.
+    """
     verb = ["node", "--settings", str(settings)]
     if weakened is None:
         return [sys.executable, "-m", "crankseam.cli.main", *verb]
@@ -110,6 +123,6 @@
 
 
 def address_flags(address: str) -> list[str]:
-    """`--host` and `--port` for host:port."""
+    """Convert `host:port` to the flags `--host` and `--port`."""
     host, _, port = address.rpartition(":")
     return ["--host", host, "--port", port]
