--- a/src/crankseam_experiments/report.py
+++ b/src/crankseam_experiments/report.py
@@ -1,7 +1,8 @@
-"""Turns one run's evidence and the clients' own figures into its report.
+"""Builds the report of one run from its evidence and the figures that its clients printed.
 
-Times are seconds unless a name ends in `_ms`; versions are counted, not timed. A run passes if all
-samples came once, no promise was broken and every process ended well.
+Times are in seconds unless a name ends in `_ms`; staleness in versions is a count. A run passes if
+every sample was delivered exactly once, no promise was violated, and every client and node exited
+with status 0.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
 
 
-def _running_idle(trainer: dict[str, Any]) -> float | None:
-    """Idle share after the first step: the wait for the first one is the same for all."""
+def _idle_fraction_after_first_step(trainer: dict[str, Any]) -> float | None:
+    """Idle fraction after the first step; the wait for the first step is equal for all policies."""
     idle = trainer.get("idle", 0.0) - trainer.get("first_idle", 0.0)
     total = idle + trainer.get("training", 0.0)
     return idle / total if total else None
@@ -37,7 +38,7 @@
 
 
 def _staleness_seconds(evidence: Evidence) -> list[float]:
-    """For each sample: when it was trained on, less when its oldest version was replaced."""
+    """For each sample, the time from the replacement of its oldest version to its training."""
     replaced_at = {
         entry["version"] - 1: entry["at"]
         for entry in evidence.trainer
@@ -55,24 +56,24 @@
 
 
 def _summarise(run: ExperimentRun, findings: list[Finding], evidence: Evidence) -> dict[str, Any]:
-    told = [e for e in evidence.callers if e["event"] == "final"]
+    final_results = [e for e in evidence.callers if e["event"] == "final"]
     samples = [(e["step"], e["index"]) for e in evidence.trainer if e["event"] == "sample"]
-    asked = sum(e["samples"] for e in evidence.trainer if e["event"] == "opened")
-    answered = sum(e["outcome"] == "answered" for e in told)
+    requested = sum(e["samples"] for e in evidence.trainer if e["event"] == "opened")
+    answered = sum(e["outcome"] == "answered" for e in final_results)
     return {
-        "requests_sent": len(told),
+        "requests_sent": len(final_results),
         "requests_answered": answered,
-        "requests_unanswered": len(told) - answered,
-        "samples_asked": asked,
+        "requests_unanswered": len(final_results) - answered,
+        "samples_asked": requested,
         "samples_delivered": len(set(samples)),
         "duplicates": len(samples) - len(set(samples)),
-        "lost": asked - len(set(samples)),
+        "lost": requested - len(set(samples)),
         "violations": sum(finding.violations for finding in findings),
     }
 
 
 def build_report(run: ExperimentRun, codes: dict[str, int]) -> dict[str, Any]:
-    """The report of a run that has ended.
+    """Build the report of a run that has ended.
 
     Args:
         codes: exit codes of the nodes at their planned stop.
@@ -95,7 +96,7 @@
         "control": run.control,
         "node_exit_codes": codes,
         "clients_done": run.clients_done,
-        "passed": _passed(run, summary, codes),
+        "passed": _has_passed(run, summary, codes),
     }
 
 
@@ -123,7 +124,7 @@
     step_seconds = trainer.get("step_seconds", [])
     return {
         "trainer_idle_fraction": trainer.get("idle", 0.0) / total if total else None,
-        "trainer_idle_fraction_running": _running_idle(trainer),
+        "trainer_idle_fraction_running": _idle_fraction_after_first_step(trainer),
         "staleness_versions": _spread(trainer.get("staleness", [])),
         "step_seconds": {
             "p50": _percentile(step_seconds, 0.5),
@@ -133,8 +134,8 @@
     }
 
 
-def _passed(run: ExperimentRun, summary: dict[str, Any], codes: dict[str, int]) -> bool:
-    """Whether all samples came once, no promise was broken and every process ended well."""
+def _has_passed(run: ExperimentRun, summary: dict[str, Any], codes: dict[str, int]) -> bool:
+    """Whether samples came exactly once, no promise was violated and all exit codes are 0."""
     completed = summary["lost"] == 0 and all(run.clients_done.get(name) for name in run.clients)
     return (
         completed
