--- a/src/crankseam_experiments/spec.py
+++ b/src/crankseam_experiments/spec.py
@@ -1,7 +1,7 @@
-"""Experiment files: TOML, checked in one place.
+"""Schema and validation of experiment files in TOML.
 
-Owns the form of these files; fields are documented where they stand. Whatever is wrong in a file is
-reported at once, with its line.
+Fields are documented in the model classes. All errors in a file are reported together, each with
+its line.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from crankseam.toml_lines import line_of_toml_field
 
 
-class _Concern(BaseModel):
+class _FrozenModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Platform(_Concern):
-    """Where the platform's stand-ins listen."""
+class Platform(_FrozenModel):
+    """Addresses of the platform's stand-ins."""
 
     key_value: Address
     machine_list: Address
 
 
-class Samplers(_Concern):
-    """The emulators' parameters that an experiment may set."""
+class Samplers(_FrozenModel):
+    """Parameters of the sampler emulators that an experiment may set."""
 
     time_scale: float = Field(default=1.0, gt=0)
     median_length: int = Field(default=200, ge=1)
@@ -37,8 +37,8 @@
     chunk_tokens: int = Field(default=8, ge=1)
 
 
-class TrainerLoad(_Concern):
-    """What the trainer asks for. Seconds are real ones."""
+class TrainerLoad(_FrozenModel):
+    """Load that the trainer generates; seconds are wall-clock seconds."""
 
     name: Name
     steps: int = Field(ge=1)
@@ -50,8 +50,8 @@
     hints: bool = False
 
 
-class CallerLoad(_Concern):
-    """What the callers ask for."""
+class CallerLoad(_FrozenModel):
+    """Load that the callers generate."""
 
     service: Name
     rate: float = Field(gt=0)
@@ -85,41 +85,44 @@
 ]
 
 
-class FaultPlan(_Concern):
-    """Which faults come, and how often. The seed chooses which and when."""
+class FaultPlan(_FrozenModel):
+    """Kinds, number and spacing of faults; the seed determines their order and times."""
 
     kinds: list[FaultName]
     count: int = Field(ge=0)
     first_at: float = Field(default=4.0, ge=0)
-    """Seconds after the load began."""
+    """Seconds from the start of the load to the first fault."""
     spacing: float = Field(default=2.0, gt=0)
-    """Mean seconds between faults; two may overlap."""
+    """Mean seconds between the starts of faults; faults may overlap."""
     duration: float = Field(default=3.0, gt=0)
-    """Seconds that a pause, cut or outage lasts."""
+    """Base for the length of a pause, cut or outage in seconds; the injector varies it."""
     in_force_seconds: float = Field(default=15.0, gt=0)
-    """A change must be in force everywhere after this; longer than without faults, since the
-    node that carries changes may itself have to be declared dead first."""
+    """Seconds after which a change must be in force on all nodes.
+
+    The bound is longer than without faults, since the node that distributes changes may have to be
+    declared dead first.
+    """
 
 
-class Policy(_Concern):
-    """One way of running the same load, compared with others by seed."""
+class Policy(_FrozenModel):
+    """Overrides of the configuration for one of the compared variants of a run."""
 
     name: str
     idle_weight: float | None = None
-    """Overrides the trainer's; None keeps the configured one."""
+    """Overrides the trainer's `idle_weight`; None keeps the configured value."""
     sample_order: Literal["longest_first", "as_given"] = "longest_first"
     routing: Literal["least_load", "round_robin"] = "least_load"
     hints: bool = False
-    """Whether the trainer tells each sample's exact length: the oracle."""
+    """Whether the trainer sends the exact length of each sample, as the oracle policy does."""
 
 
-class Experiment(_Concern):
-    """One experiment with separate processes."""
+class Experiment(_FrozenModel):
+    """Contents of one experiment file."""
 
     name: str
     kind: Literal["processes", "latency"] = "processes"
     configuration: list[str] = Field(min_length=1)
-    """Files or folders, relative to the experiment file."""
+    """Configuration files or folders, relative to the experiment file."""
     region: Name
     zones: list[Name] = Field(min_length=1)
     nodes_per_zone: int = Field(default=1, ge=1, le=20)
@@ -128,23 +131,23 @@
     platform: Platform
     samplers: Samplers = Samplers()
     app_work_seconds: float = Field(default=0.005, ge=0)
-    """Mean time that an app server works on a request."""
+    """Mean seconds that an app server works on a request."""
     trainer: TrainerLoad | None = None
     callers: CallerLoad | None = None
     faults: FaultPlan | None = None
     timing: dict[str, str] = {}
     """Overrides of the nodes' timing settings."""
     policies: list[Policy] = []
-    """Compared in one run, paired by seed; empty runs the configuration as it is."""
+    """Policies to compare, paired by seed; if empty, the configuration runs unchanged."""
     seeds: int = Field(default=1, ge=1)
-    """How many seeds a comparison runs, from the one given on."""
+    """Number of consecutive seeds of a comparison, starting with the given seed."""
 
 
 def load_experiment(file: Path) -> Experiment:
-    """Read and check an experiment file.
+    """Read and validate an experiment file.
 
     Raises:
-        InvalidConfiguration: with one FieldError for each thing wrong.
+        InvalidConfiguration: with one FieldError for each invalid field.
     """
     text, content = read_toml(file)
     try:
