--- a/src/crankseam_experiments/verb.py
+++ b/src/crankseam_experiments/verb.py
@@ -19,11 +19,11 @@
 from crankseam_experiments.weakened_node import WEAKENINGS
 
 PLATFORM_FOLDER = Path(__file__).parents[2] / "platform"
-"""Of the checkout in which this package is installed."""
+"""The `platform` folder of the checkout in which this package is installed."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """`run` and its arguments."""
+    """Add the actions `run`, `journal`, `losses` and `soak` with their arguments."""
     actions = parser.add_subparsers(dest="action", required=True)
     action = actions.add_parser("run", help="run one experiment file")
     action.add_argument("file", type=Path)
@@ -55,7 +55,10 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run and report; the last line printed is a one-line JSON summary."""
+    """Execute the selected action and return its exit status.
+
+    All actions except `losses` print a one-line JSON summary last.
+    """
     if arguments.action == "soak":
         return _soak(arguments)
     if arguments.action == "journal":
@@ -86,12 +89,12 @@
 
 
 def _find_platform_packages() -> None:
-    """Make the packages of `platform/` importable: only these verbs need them."""
+    """Add `platform/` to the import path; only `journal`, `losses` and `soak` need it."""
     sys.path.insert(0, str(PLATFORM_FOLDER))
 
 
 def _journal(arguments: argparse.Namespace) -> int:
-    """Plot the scores that the journal keeps."""
+    """Plot the scores recorded in the journal."""
     _find_platform_packages()
     from crankseam_platform_bench.journal_plot import plot_journal
 
@@ -100,7 +103,7 @@
 
 
 def _losses(arguments: argparse.Namespace) -> int:
-    """Print where the worth of one played day went."""
+    """Print the breakdown of lost value over one emulated day."""
     _find_platform_packages()
     from crankseam_platform_bench.losses import format_losses, read_jobs, read_report
 
@@ -109,7 +112,7 @@
 
 
 def _soak(arguments: argparse.Namespace) -> int:
-    """Run one soak, or all seeds that once failed."""
+    """Run one soak, or every seed listed in the regressions file."""
     _find_platform_packages()
     from crankseam_platform_standins.soak.run import regression_seeds, run_soak
 
