--- a/src/crankseam_experiments/weakened_node.py
+++ b/src/crankseam_experiments/weakened_node.py
@@ -1,7 +1,7 @@
-"""A node with one mechanism switched off, for control runs: the auditor must find violations.
+"""Runs a node with one mechanism switched off, for control runs of the auditor.
 
-Nothing of this is in the serving package: the mechanism is replaced from outside, in a process
-that then runs the ordinary node.
+The auditor must find violations in a control run. The serving package has no code for this: the
+mechanism is replaced by patching attributes in a process that then runs the regular node.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 
 @dataclass(frozen=True)
 class Weakening:
-    """How a mechanism is switched off, and the faults under which its absence shows."""
+    """How a mechanism is switched off, and the faults that expose its absence."""
 
     apply: Callable[[], None]
     faults: tuple[FaultName, ...]
     app_work_seconds: float | None = None
-    """Mean time that an app server works, where requests must be under way for it to show."""
+    """Mean seconds of work per app request, if a violation requires requests in progress."""
     time_scale: float | None = None
-    """Slows the samplers down, where a step must be half received for it to show."""
+    """Slower time scale of the samplers, if a violation requires a partly received step."""
 
 
 def _label_with_first_version() -> None:
-    """Samples are labelled with the version they began with, not with what was reported."""
+    """Label each sample with its first version instead of the versions reported for its tokens."""
 
     def append(segments: list[Segment], version: int, start: int, count: int) -> None:
         if count:
@@ -52,7 +52,7 @@
 
 
 def _deliver_stale() -> None:
-    """Nothing checks the bound, and no new weights are loaded."""
+    """Disable the staleness checks and the loading of new weights."""
 
     async def no_weights(_self: WeightsController) -> None:
         return None
@@ -64,12 +64,12 @@
 
 
 def _ignore_cursor() -> None:
-    """Every stream starts at the first sample."""
+    """Ignore the cursor, so that every stream starts at the first sample."""
     replace_attribute(service, "parse_cursor", lambda _text: set())
 
 
 def _share_records() -> None:
-    """Requests of one minute share a record, so that one gets another's answer."""
+    """Share one record among requests of one minute, so that a request gets a wrong answer."""
 
     def locate(self: RequestClaims, context: RequestContext) -> Any:
         agent: ClusterAgent = self._agent
@@ -81,7 +81,7 @@
 
 
 def _claim_nothing_ran() -> None:
-    """Every problem says `not_run`, whatever was forwarded."""
+    """Report every problem as `not_run`, even if the request was forwarded."""
 
     async def check(_self: RefusalFilter, _context: RequestContext, problem: Problem) -> None:
         problem.outcome = OUTCOME_NOT_RUN
@@ -90,7 +90,7 @@
 
 
 def _forward_without_claim() -> None:
-    """No request is claimed before it is forwarded."""
+    """Forward requests without claiming them first."""
 
     async def forward(_self: ClaimFilter, context: RequestContext, following: Next) -> Answer:
         return await following(context)
@@ -99,12 +99,12 @@
 
 
 def _route_to_leaving() -> None:
-    """Back ends stay in routing whatever is reported of them."""
+    """Keep back ends in routing regardless of their reported state."""
     replace_attribute(Router, "_refusal", lambda *_args: None)
 
 
 def _stop_at_once() -> None:
-    """A planned stop is like a crash."""
+    """Close all connections at a planned stop without draining, as in a crash."""
 
     async def stop(self: Node) -> None:
         for transport in list(self._runner.server.connections if self._runner.server else []):
@@ -115,7 +115,7 @@
 
 
 def _serve_without_lease() -> None:
-    """A node serves under whatever revision it has."""
+    """Serve under any revision that the node has, without a configuration lease."""
     replace_attribute(ConfigurationLease, "is_held", lambda self: self.snapshot.revision > 0)
 
 
