--- a/src/crankseam_experiments/auditor.py
+++ b/src/crankseam_experiments/auditor.py
@@ -122,8 +122,8 @@
         if entry["event"] != "sample":
             continue
         request = f"{evidence.trainer_name}/{entry['step']}/{entry['index']}"
-        true = _segments_match_generation(entry, generated.get(request, {}))
-        findings["true_weight_versions"].check(true, f"{request}: {entry['segments']}")
+        segments_match = _segments_match_generation(entry, generated.get(request, {}))
+        findings["true_weight_versions"].check(segments_match, f"{request}: {entry['segments']}")
         oldest = min(segment[0] for segment in entry["segments"])
         fresh = oldest >= entry["trainer_version"] - evidence.staleness_bound
         example = f"{request}: version {oldest} for a trainer at {entry['trainer_version']}"
