--- a/src/crankseam_experiments/fault_injection.py
+++ b/src/crankseam_experiments/fault_injection.py
@@ -37,16 +37,16 @@
         self._fleet = run.fleet
         self._plan = run.spec.faults
         self._random = run.random
-        self._restarted: set[str] = set()
+        self._pending_restarts: set[str] = set()
         self._reserved: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self.injected: Counter[str] = Counter()
         self.recovery_seconds: list[float] = []
 
     def consume_restart(self, client: str) -> bool:
-        """Whether a fault killed this client and restarts it; clears the mark of that restart."""
-        if client in self._restarted:
-            self._restarted.discard(client)
+        """Return whether a fault killed this client and restarts it, and clear that mark."""
+        if client in self._pending_restarts:
+            self._pending_restarts.discard(client)
             return True
         return False
 
@@ -81,7 +81,7 @@
 
     # --- selection of targets
 
-    def _duration(self) -> float:
+    def _random_duration(self) -> float:
         assert self._plan is not None
         return self._plan.duration * self._random.uniform(0.3, 1.5)
 
@@ -90,7 +90,7 @@
         free = [name for name in self._fleet.nodes if name not in self._reserved]
         return self._random.choice(free) if free else None
 
-    def _address(self, name: str) -> str:
+    def _back_end_address(self, name: str) -> str:
         for document in self._fleet.documents:
             if isinstance(document, Service):
                 for back_end in document.back_ends:
@@ -102,11 +102,11 @@
                         return sampler.address
         raise KeyError(name)
 
-    def _samplers(self) -> list[str]:
+    def _available_samplers(self) -> list[str]:
         pool = self._run.document(SamplerPool)
         return [sampler.name for sampler in pool.samplers if sampler.name not in self._reserved]
 
-    def _apps(self) -> list[str]:
+    def _available_apps(self) -> list[str]:
         service = self._run.document(Service)
         return [item.name for item in service.back_ends if item.name not in self._reserved]
 
@@ -130,7 +130,7 @@
         self._reserved.add(name)
         node = self._fleet.nodes[name]
         await node.kill()
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._random_duration())
         await node.start()
         await self._measure_recovery(name)
         self._reserved.discard(name)
@@ -142,7 +142,7 @@
         self._reserved.add(name)
         node = self._fleet.nodes[name]
         node.signal(signal.SIGSTOP)
-        await asyncio.sleep(self._duration() * 2)
+        await asyncio.sleep(self._random_duration() * 2)
         node.signal(signal.SIGCONT)
         await self._measure_recovery(name)
         self._reserved.discard(name)
@@ -170,7 +170,7 @@
         assert links is not None
         for source, target in pairs:
             links.set_cut(source, target, True)
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._random_duration())
         for source, target in pairs:
             links.set_cut(source, target, False)
 
@@ -198,21 +198,21 @@
         first, second = self._pick_pair()
         for source, target in ((first, second), (second, first)):
             links.set_delay(source, target, 0.2)
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._random_duration())
         for source, target in ((first, second), (second, first)):
             links.set_delay(source, target, 0.0)
 
     # --- platform
 
     async def _key_value_down(self) -> None:
-        duration = self._duration() * 2
+        duration = self._random_duration() * 2
         await self._fleet.request_fault(self._run.spec.platform.key_value, down_seconds=duration)
         await asyncio.sleep(duration)
 
     async def _key_value_slow(self) -> None:
         address = self._run.spec.platform.key_value
         await self._fleet.request_fault(address, delay=1.0)
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._random_duration())
         await self._fleet.request_fault(address, delay=0.0)
 
     async def _lose_answers(self) -> None:
@@ -269,27 +269,27 @@
         self._reserved.add(name)
         standin = self._fleet.standins[name]
         await standin.kill()
-        await asyncio.sleep(self._duration())
+        await asyncio.sleep(self._random_duration())
         await standin.start()
         await standin.wait_until_up(self._fleet.session)
         self._reserved.discard(name)
 
     async def _kill_sampler(self) -> None:
-        if len(names := self._samplers()) > 2:
+        if len(names := self._available_samplers()) > 2:
             await self._restart_standin(self._random.choice(names))
 
     async def _kill_app(self) -> None:
-        if len(names := self._apps()) > 1:
+        if len(names := self._available_apps()) > 1:
             await self._restart_standin(self._random.choice(names))
 
     async def _lose_app_answers(self) -> None:
-        if names := self._apps():
-            address = self._address(self._random.choice(names))
+        if names := self._available_apps():
+            address = self._back_end_address(self._random.choice(names))
             await self._fleet.request_fault(address, lose_answers=3)
 
     async def _leave(self, name: str) -> None:
         self._reserved.add(name)
-        address = self._address(name)
+        address = self._back_end_address(name)
         await self._fleet.request_fault(address, leaving=True)
         begin = time.time()
         await asyncio.sleep(LEAVING_DURATION_S)
@@ -298,22 +298,22 @@
         self._reserved.discard(name)
 
     async def _leave_app(self) -> None:
-        if len(names := self._apps()) > 1:
+        if len(names := self._available_apps()) > 1:
             await self._leave(self._random.choice(names))
 
     async def _leave_sampler(self) -> None:
-        if len(names := self._samplers()) > 2:
+        if len(names := self._available_samplers()) > 2:
             await self._leave(self._random.choice(names))
 
     async def _break_streams(self) -> None:
-        if names := self._samplers():
+        if names := self._available_samplers():
             await self._fleet.request_fault(
-                self._address(self._random.choice(names)), break_streams=8
+                self._back_end_address(self._random.choice(names)), break_streams=8
             )
 
     async def _fail_loads(self) -> None:
-        if names := self._samplers():
-            address = self._address(self._random.choice(names))
+        if names := self._available_samplers():
+            address = self._back_end_address(self._random.choice(names))
             await self._fleet.request_fault(address, fail_loads=4)
 
     async def _kill_trainer(self) -> None:
@@ -321,7 +321,7 @@
         trainer = self._run.clients.get("trainer")
         if trainer is None or not trainer.is_running():
             return
-        self._restarted.add("trainer")
+        self._pending_restarts.add("trainer")
         trainer.signal(signal.SIGKILL)
         while trainer.is_running():
             await asyncio.sleep(0.05)
