--- a/src/crankseam_experiments/runner.py
+++ b/src/crankseam_experiments/runner.py
@@ -97,11 +97,11 @@
 
 def evaluate_control_run(report: dict[str, Any], promise: str) -> None:
     """Mark a control run as passed if the auditor found a violation of `promise`."""
-    found = next(item for item in report["promises"] if item["name"] == promise)
+    finding = next(item for item in report["promises"] if item["name"] == promise)
     report["weakened"] = promise
-    report["passed"] = found["violations"] > 0
+    report["passed"] = finding["violations"] > 0
     report["summary"]["weakened"] = promise
-    report["summary"]["caught"] = found["violations"]
+    report["summary"]["caught"] = finding["violations"]
 
 
 async def run_processes(
