--- a/src/crankseam_experiments/verb.py
+++ b/src/crankseam_experiments/verb.py
@@ -119,8 +119,8 @@
     seconds = arguments.minutes * 60.0
     runs = [(arguments.seed, seconds)]
     if arguments.regressions:
-        found = regression_seeds(arguments.regressions)
-        runs = [(one["seed"], one["seconds"]) for one in found]
+        regressions = regression_seeds(arguments.regressions)
+        runs = [(entry["seed"], entry["seconds"]) for entry in regressions]
     passed = True
     for seed, length in runs:
         out = arguments.out.resolve() / f"seed-{seed}"
