--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -43,9 +43,9 @@
         async with aiohttp.ClientSession() as self._session:
             for number in range(WARM_UP + REQUESTS):
                 for path in REQUEST_PATHS:
-                    took = await self._send(path)
+                    elapsed_ms = await self._send(path)
                     if number >= WARM_UP:
-                        self.milliseconds[path].append(took)
+                        self.milliseconds[path].append(elapsed_ms)
 
     async def _send(self, path: str) -> float:
         url = self._direct_url if path == "straight" else self._node_url
@@ -58,7 +58,7 @@
         return (time.perf_counter() - started) * 1000
 
 
-def _describe(values: list[float]) -> dict[str, float]:
+def _percentiles(values: list[float]) -> dict[str, float]:
     percentiles = statistics.quantiles(values, n=100, method="inclusive")
     return {"p50": round(percentiles[49], 3), "p99": round(percentiles[98], 3)}
 
@@ -75,7 +75,7 @@
         codes = await run.fleet.stop()
     finally:
         await run.fleet.kill_all()
-    summary = {path: _describe(values) for path, values in latency.milliseconds.items()}
+    summary = {path: _percentiles(values) for path, values in latency.milliseconds.items()}
     report = {
         "name": spec.name,
         "requests_each_way": REQUESTS,
