--- a/src/crankseam_experiments/experiment_run.py
+++ b/src/crankseam_experiments/experiment_run.py
@@ -32,7 +32,11 @@
 
 
 class ExperimentRun:
-    """Fleet, client processes, evidence and measured figures of one run."""
+    """Fleet, client processes, evidence and measured figures of one run.
+
+    Configuration paths in the experiment file are relative to `folder`. `weakened` names a promise
+    whose mechanism is switched off on every node, or is None.
+    """
 
     def __init__(
         self, spec: Experiment, folder: Path, seed: int, out: Path, weakened: str | None
@@ -138,23 +142,23 @@
                 async with self.fleet.session.get(f"http://{sampler.address}/_account") as answer:
                     account = await answer.json()
             except (aiohttp.ClientError, TimeoutError):
-                continue  # the sampler is not running: the report omits its figures
+                continue  # a fault killed the sampler last: the report lacks its figures
             self.sampler_totals[sampler.name] = {
                 name: account[name] for name in ("tokens", "busy_seconds", "seconds")
             }
 
     async def measure_control(self) -> None:
-        """Record control-plane counters of each node since it started, such as CPU time."""
-        wanted = ("cpu_seconds", "peer_bytes_sent", "key_value_requests", "slot_moves")
+        """Record CPU time, peer traffic, store requests and slot moves of each node since start."""
+        metric_names = ("cpu_seconds", "peer_bytes_sent", "key_value_requests", "slot_moves")
         for name, address in self.fleet.node_addresses.items():
             try:
                 async with self.fleet.session.get(f"http://{address}/metrics") as answer:
                     text = await answer.text()
             except (aiohttp.ClientError, TimeoutError):
-                continue  # the node is not running: the report omits its figures
+                continue  # a fault killed the node last: the report lacks its figures
             lines = [line.split() for line in text.splitlines() if not line.startswith("#")]
             values = {line[0]: float(line[1]) for line in lines}
-            self.control[name] = {item: values[f"crankseam_{item}"] for item in wanted}
+            self.control[name] = {item: values[f"crankseam_{item}"] for item in metric_names}
 
     # --- audit
 
