--- a/src/crankseam_experiments/comparison.py
+++ b/src/crankseam_experiments/comparison.py
@@ -34,9 +34,9 @@
     report: dict[str, Any] = {}
     for seed in range(first_seed, first_seed + spec.seeds):
         for policy in spec.policies:
-            single = await _run_one(spec, folder, seed, out, policy)
-            runs[policy.name].append(single)
-            idle = single[IDLE_AFTER_FIRST_STEP_FIELD]
+            run_report = await _run_one(spec, folder, seed, out, policy)
+            runs[policy.name].append(run_report)
+            idle = run_report[IDLE_AFTER_FIRST_STEP_FIELD]
             print(f"seed {seed} {policy.name}: idle {idle}", file=sys.stderr, flush=True)
         report = _build_report(spec, first_seed, seed, runs)
         (out / "report.json").write_text(json.dumps(report, indent=2) + "\n", encoding="utf-8")
