--- a/src/crankseam_experiments/report.py
+++ b/src/crankseam_experiments/report.py
@@ -88,7 +88,7 @@
         "summary": summary,
         "promises": [dataclasses.asdict(finding) for finding in findings],
         "faults": run.injected,
-        "recovery_seconds": _recoveries(run.recovery_seconds),
+        "recovery_seconds": _recovery_figures(run.recovery_seconds),
         **_app_figures(run.client_report("caller")),
         **_trainer_figures(run.client_report("trainer")),
         "staleness_seconds": _spread(_staleness_seconds(evidence)),
@@ -100,7 +100,7 @@
     }
 
 
-def _recoveries(seconds: list[float]) -> dict[str, float | None]:
+def _recovery_figures(seconds: list[float]) -> dict[str, float | None]:
     return {
         "count": len(seconds),
         "median": statistics.median(seconds) if seconds else None,
