--- a/src/crankseam_experiments/weakened_node.py
+++ b/src/crankseam_experiments/weakened_node.py
@@ -69,7 +69,7 @@
 
 
 def _share_records() -> None:
-    """Share one record among requests of one minute, so that a request gets a wrong answer."""
+    """Share one record among the requests of one minute, so that one gets another's answer."""
 
     def locate(self: RequestClaims, context: RequestContext) -> Any:
         agent: ClusterAgent = self._agent
