--- a/src/crankseam/quarantine/holding.py
+++ b/src/crankseam/quarantine/holding.py
@@ -28,7 +28,7 @@
 """The same limit for an item of a job. A sampler that crashes interrupts about twelve items, which
 all resume on other samplers at once. With six samplers, two of the twelve again share a sampler
 with the item that causes the crash, and in one of three cases one of them does so a third time."""
-MOST_PROBES = 3
+MAX_PROBES = 3
 """Number of probes of a held request; after the last one only an operator releases it."""
 FIRST_HOLD_S = 3.0
 """Hold before the first probe, which releases a healthy request that only shared a back end with
@@ -63,7 +63,7 @@
 
 def hold_duration_s(probes: int) -> float:
     """Returns for how many seconds after its last change a request is held."""
-    if probes >= MOST_PROBES:
+    if probes >= MAX_PROBES:
         return HELD_RETENTION_S
     return FIRST_HOLD_S * HOLD_FACTOR**probes
 
--- a/tests/quarantine/test_quarantine_machine.py
+++ b/tests/quarantine/test_quarantine_machine.py
@@ -19,7 +19,7 @@
 CULPRITS = [make_subject(body=b"culprit 0"), make_subject(body=b"culprit 1")]
 HEALTHY = [make_subject(body=b"healthy %d" % number) for number in range(4)]
 CRASH_LIMIT = 2
-LONGEST_HOLD_S = 0.04 * holding.HOLD_FACTOR ** (holding.MOST_PROBES - 1)
+LONGEST_HOLD_S = 0.04 * holding.HOLD_FACTOR ** (holding.MAX_PROBES - 1)
 
 
 class Histories(RuleBasedStateMachine):
@@ -145,7 +145,7 @@
 
     @invariant()
     def a_culprit_ends_few(self):
-        max_crashes = CRASH_LIMIT + holding.MOST_PROBES
+        max_crashes = CRASH_LIMIT + holding.MAX_PROBES
         assert all(count <= max_crashes for count in self.crash_counts.values()), self.crash_counts
 
     @invariant()
@@ -172,7 +172,7 @@
             await asyncio.sleep(0.5)
             for number in range(len(HEALTHY)):
                 found = self.processes[0].table.find(HEALTHY[number].fingerprint)
-                if found is None or found.record.probes < holding.MOST_PROBES:
+                if found is None or found.record.probes < holding.MAX_PROBES:
                     await until_served(number)
 
         self._run_async(serve_all())
--- a/tests/quarantine/test_trial.py
+++ b/tests/quarantine/test_trial.py
@@ -80,7 +80,7 @@
     await hold(processes)
     fingerprint = make_subject().fingerprint
     holds = []
-    for number in range(holding.MOST_PROBES):
+    for number in range(holding.MAX_PROBES):
         suspect = processes[0].table.find(fingerprint)
         holds.append(suspect.record.hold_duration_s())
         await eventually(lambda suspect=suspect: suspect.held_for_s() == 0.0)
--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -140,7 +140,7 @@
         number += 1
         await send(session, cluster.url(number % 3))
         await asyncio.sleep(0.05)
-    assert 3 <= len(crash_times(cluster)) <= 2 + holding.MOST_PROBES
+    assert 3 <= len(crash_times(cluster)) <= 2 + holding.MAX_PROBES
 
 
 async def test_an_operator_sees_it_and_releases_it(cluster, session, capsys):
