--- a/src/crankseam/quarantine/suspect_store.py
+++ b/src/crankseam/quarantine/suspect_store.py
@@ -20,7 +20,7 @@
 )
 from crankseam.quarantine.model import SuspectRecord
 
-SUSPECT_FOLDER = "suspect/"
+SUSPECT_PREFIX = "suspect/"
 """Key prefix of suspects, relative to the state prefix."""
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self, store: TransactionStore, state_prefix: str) -> None:
         self._store = store
-        self.prefix = state_prefix + SUSPECT_FOLDER
+        self.prefix = state_prefix + SUSPECT_PREFIX
 
     def fingerprint_of_key(self, key: str) -> str:
         """Returns the fingerprint that a suspect's key contains."""
