--- a/src/crankseam/jobs/send_outcome.py
+++ b/src/crankseam/jobs/send_outcome.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.trial import Send
+from crankseam.quarantine.request_tracker import Send
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
 
--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -7,7 +7,7 @@
 
 from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.trial import Trial
+from crankseam.quarantine.request_tracker import Trial
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.ended_back_ends import EndedBackEnds
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -4,7 +4,7 @@
 one. Relies on `holding` for each decision, and on the `Quarantine` for known suspects and for the
 right to probe.
 Logged as: `request_held`, `item_held`.
-Tested by: tests/quarantine/test_trial.py.
+Tested by: tests/quarantine/test_request_tracker.py.
 """
 
 from __future__ import annotations
--- a/src/crankseam/requests/attempts.py
+++ b/src/crankseam/requests/attempts.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from crankseam.backoff import RetryBudget
-from crankseam.quarantine.trial import Trial
+from crankseam.quarantine.request_tracker import Trial
 from crankseam.requests.context import RequestContext
 
 MIN_REMAINING_S = 0.005
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -33,7 +33,7 @@
 from crankseam.errors import DeadlineExceeded, OutcomeUnknown, Unavailable
 from crankseam.quarantine.model import TrialSubject, name_of_end
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.trial import Send, Trial
+from crankseam.quarantine.request_tracker import Send, Trial
 from crankseam.requests import retry_after
 from crankseam.requests.attempts import (
     has_time_to_forward,
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -27,7 +27,7 @@
 from crankseam.peers.messages import CompletionOutcome
 from crankseam.quarantine.model import TrialSubject, name_of_end
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.trial import Send, Trial
+from crankseam.quarantine.request_tracker import Send, Trial
 from crankseam.rollout.executors import StreamExecutors
 from crankseam.rollout.messages import (
     SampleRequest,
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -19,7 +19,7 @@
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import default_crash_limit
 from crankseam.quarantine.model import TrialSubject
-from crankseam.quarantine.trial import Send, Trial
+from crankseam.quarantine.request_tracker import Send, Trial
 from crankseam.serving import retry
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.choice import choose_back_end
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -6,7 +6,7 @@
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.model import TrialSubject
 from crankseam.quarantine.parts import make_quarantine
-from crankseam.quarantine.trial import Trial
+from crankseam.quarantine.request_tracker import Trial
 from crankseam.serving.ended_back_ends import EndedBackEnds
 from crankseam.serving.supervisor import Supervisor
 from crankseam_standins.memory_store import MemoryStore
