--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -41,7 +41,7 @@
 from crankseam.jobs.urgency import is_long_run, slots_share
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_ITEM_CRASH_LIMIT
-from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.model import RequestIdentity
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.engine_memory import RunSize
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
@@ -82,8 +82,8 @@
     return ItemResult(item.id, True, "\n".join(text.events), list(text.versions))
 
 
-def _subject(job: JobDefinition, item: ItemDefinition) -> TrialSubject:
-    return TrialSubject(item.id, job.tenant, "", "POST", job.host, item.path, item.body)
+def _subject(job: JobDefinition, item: ItemDefinition) -> RequestIdentity:
+    return RequestIdentity(item.id, job.tenant, "", "POST", job.host, item.path, item.body)
 
 
 class _Migrate(Exception):
@@ -134,7 +134,7 @@
         self._places = RoutedPlaces(parts.dispatcher, parts.splitter)
         self._client = parts.client
         self._guard = parts.guard
-        self._trial = parts.guard.begin(_subject(job, item), DEFAULT_ITEM_CRASH_LIMIT)
+        self._tracker = parts.guard.begin(_subject(job, item), DEFAULT_ITEM_CRASH_LIMIT)
         self.kept = kept
         self._is_expected_long = is_long
         self._created_at = time.monotonic()
@@ -152,7 +152,7 @@
         try:
             return await self._run()
         finally:
-            self._trial.abandon()
+            self._tracker.abandon()
             unused = self._end_migration()
             if unused is not None:
                 self._dispatcher.release(unused, self.item.id)
@@ -160,10 +160,10 @@
     async def _run(self) -> ItemResult:
         reserved: BackEnd | None = None
         while True:
-            if reserved is not None and not self._trial.is_admitted():
+            if reserved is not None and not self._tracker.is_admitted():
                 self._dispatcher.release(reserved, self.item.id)
                 reserved = None
-            await self._trial.wait_admitted()
+            await self._tracker.wait_admitted()
             async with self._places.hold(
                 partial(self._find_route, self.job), self._need(), self._only_version, reserved
             ) as place:
@@ -233,7 +233,7 @@
         self._single_version = route.single_version
         self._log("item_sent", back_end, f"load {back_end.expected_load(time.monotonic())}")
         try:
-            with self._trial.sending() as send:
+            with self._tracker.sending() as send:
                 await record_send_outcome(self._guard, send, back_end, self._generate(back_end))
         except AttemptNotRun as refusal:
             pause_s = rejected_backoff_s(refusal.had_free_slots)
@@ -245,7 +245,7 @@
             back_end.record_failure()
             self._avoided = back_end.record.id
             self._log("item_broken", back_end, failure.reason)
-            self._trial.report_if_held()
+            self._tracker.report_if_held()
             await asyncio.sleep(BROKEN_RETRY_DELAY_S)
             return None
         except _Migrate:
@@ -320,7 +320,7 @@
             self.kept.clear()
             raise AttemptBroken("made by two versions")
         self.kept.append(event)
-        self._trial.progressed()
+        self._tracker.progressed()
 
     def _migrate_if_slow(self, back_end: BackEnd) -> None:
         now = time.monotonic()
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -33,7 +33,7 @@
 from crankseam.jobs.urgency import SCORING_SLOTS_SHARE
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import DEFAULT_CRASH_LIMIT
-from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.model import RequestIdentity
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
 from crankseam.serving.routes import Route, TrafficSplitter
@@ -59,8 +59,10 @@
         """
 
 
-def _subject(request: ScoringRequest) -> TrialSubject:
-    return TrialSubject(request.id, NO_TENANT, "", "POST", request.host, request.path, request.body)
+def _subject(request: ScoringRequest) -> RequestIdentity:
+    return RequestIdentity(
+        request.id, NO_TENANT, "", "POST", request.host, request.path, request.body
+    )
 
 
 class ItemScorer:
@@ -108,7 +110,7 @@
         try:
             return await self._try_until_scored(run, request, rank, job_attempts)
         finally:
-            run.trial.abandon()
+            run.tracker.abandon()
 
     async def _try_until_scored(
         self,
@@ -118,7 +120,7 @@
         job_attempts: int,
     ) -> str | None:
         while True:
-            await run.trial.wait_admitted()
+            await run.tracker.wait_admitted()
             need = PlaceNeed(rank, avoided=run.avoided, slots_share=SCORING_SLOTS_SHARE)
             async with self._places.hold(partial(self._find_route, request), need) as place:
                 score = await run.attempt(place.route, place.back_end)
@@ -142,7 +144,7 @@
     ) -> None:
         self._client = client
         self._guard = guard
-        self.trial = guard.begin(_subject(request), DEFAULT_CRASH_LIMIT)
+        self.tracker = guard.begin(_subject(request), DEFAULT_CRASH_LIMIT)
         self._job = job
         self._item = item
         self._request = request
@@ -160,7 +162,7 @@
         self._log("scoring_sent", back_end, f"patience {timeout_s:.2f} s")
         try:
             async with asyncio.timeout(timeout_s):
-                with self.trial.sending() as send:
+                with self.tracker.sending() as send:
                     deadline = clocks.promised_s() + timeout_s
                     call = self._client.score(back_end, self._request, deadline)
                     score = await record_send_outcome(self._guard, send, back_end, call)
@@ -173,7 +175,7 @@
         except AttemptBroken as failure:
             back_end.record_failure()
             self._log("scoring_broken", back_end, failure.reason)
-            self.trial.report_if_held()
+            self.tracker.report_if_held()
             return None
         except TimeoutError:
             self._timeouts += 1
--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -5,16 +5,16 @@
 
 from __future__ import annotations
 
-from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.model import RequestIdentity
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.request_tracker import Trial
+from crankseam.quarantine.request_tracker import RequestTracker
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.ended_back_ends import EndedBackEnds
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
 
 
 class CrashGuard:
-    """Creates the trials of requests, and detects back ends that crashed under them.
+    """Creates the trackers of requests, and detects back ends that crashed under them.
 
     Parameters
     ==========
@@ -26,9 +26,9 @@
         self._quarantine = quarantine
         self._ended_back_ends = ended_back_ends
 
-    def begin(self, subject: TrialSubject, crash_limit: int) -> Trial:
-        """Returns the trial of a request that is about to be sent."""
-        return Trial(self._quarantine, subject, crash_limit)
+    def begin(self, subject: RequestIdentity, crash_limit: int) -> RequestTracker:
+        """Returns the tracker of a request that is about to be sent."""
+        return RequestTracker(self._quarantine, subject, crash_limit)
 
     async def ended_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
         """Returns the id of a back end that crashed under an attempt; empty if it did not crash."""
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class TrialSubject:
+class RequestIdentity:
     """The properties that identify a request, an item or a scoring request.
 
     Attributes
@@ -82,7 +82,7 @@
     return f"{back_end}@{time.time():.3f}"
 
 
-def initial_record(subject: TrialSubject, ended: list[str]) -> SuspectRecord:
+def initial_record(subject: RequestIdentity, ended: list[str]) -> SuspectRecord:
     """Returns the first record of a request under which the back ends in `ended` crashed."""
     return SuspectRecord(
         list(dict.fromkeys(ended)), 0, subject.route, subject.tenant, len(subject.body)
--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -14,7 +14,7 @@
 from crankseam.backoff import Backoff
 from crankseam.coordination.interface import ABSENT, Entry, TransactionConflict
 from crankseam.errors import KeyValueError
-from crankseam.quarantine.model import SuspectRecord, TrialSubject, initial_record
+from crankseam.quarantine.model import RequestIdentity, SuspectRecord, initial_record
 from crankseam.quarantine.publisher import SuspectPublisher
 from crankseam.quarantine.suspect_store import SuspectMalformed, SuspectStore, decode_suspect
 from crankseam.quarantine.table import Suspect, SuspectTable
@@ -73,7 +73,7 @@
         """Returns all known suspects with their fingerprints, the most recently changed first."""
         return sorted(self._table, key=lambda pair: pair[1].changed_at, reverse=True)
 
-    def find(self, subject: TrialSubject) -> Suspect | None:
+    def find(self, subject: RequestIdentity) -> Suspect | None:
         """Returns the suspect that a request matches, if any.
 
         The fingerprint is computed only if a suspect has a body of the same length.
@@ -84,11 +84,11 @@
 
     # --- reports and releases
 
-    def report_crashes(self, subject: TrialSubject, ended: list[str]) -> None:
+    def report_crashes(self, subject: RequestIdentity, ended: list[str]) -> None:
         """Reports to all processes that back ends crashed under a request."""
         self._publisher.publish(subject.fingerprint, initial_record(subject, ended))
 
-    def release_answered(self, subject: TrialSubject) -> None:
+    def release_answered(self, subject: RequestIdentity) -> None:
         """Releases a request that a back end answered completely: it crashes no back end."""
         self.release(subject.fingerprint, ANSWERED)
 
@@ -127,7 +127,7 @@
 
     # --- probes
 
-    async def claim_probe(self, subject: TrialSubject) -> bool:
+    async def claim_probe(self, subject: RequestIdentity) -> bool:
         """Claims the right to send a held request once; at most one process succeeds.
 
         A process probes one suspect at a time. Otherwise the request that causes the crashes could
@@ -156,22 +156,22 @@
         )
         return True
 
-    def finish_probe(self, subject: TrialSubject) -> None:
+    def finish_probe(self, subject: RequestIdentity) -> None:
         """Ends this process's probe of a request, whether it has an outcome or is abandoned."""
         self._probing.discard(subject.fingerprint)
 
-    def return_probe(self, subject: TrialSubject) -> None:
+    def return_probe(self, subject: RequestIdentity) -> None:
         """Returns a claimed probe that no back end has run, so that it does not count."""
         self._run_once(lambda: self._return_probe(subject), "give back probe")
 
-    async def _return_probe(self, subject: TrialSubject) -> None:
+    async def _return_probe(self, subject: RequestIdentity) -> None:
         suspect = self._table.find(subject.fingerprint)
         if suspect is not None and suspect.record.probes:
             record = suspect.record.with_probes(suspect.record.probes - 1)
             await self._replace_record(subject, record, suspect.revision)
 
     async def _replace_record(
-        self, subject: TrialSubject, record: SuspectRecord, revision: int
+        self, subject: RequestIdentity, record: SuspectRecord, revision: int
     ) -> bool:
         fingerprint = subject.fingerprint
         try:
--- a/src/crankseam/quarantine/request_tracker.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -18,7 +18,7 @@
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
-from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.model import RequestIdentity
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.table import Suspect
 
@@ -36,7 +36,7 @@
     """Id of the back end if it crashed under the request; otherwise empty."""
 
 
-class Trial:
+class RequestTracker:
     """The sends of one caller's request, item or scoring request, and their outcomes.
 
     Parameters
@@ -46,12 +46,12 @@
         is held.
     """
 
-    def __init__(self, quarantine: Quarantine, subject: TrialSubject, crash_limit: int) -> None:
+    def __init__(self, quarantine: Quarantine, subject: RequestIdentity, crash_limit: int) -> None:
         self._quarantine = quarantine
         self.subject = subject
         self._crash_limit = crash_limit
         self.ended: list[str] = []
-        """Ids of the back ends that crashed under this trial."""
+        """Ids of the back ends that crashed under this request."""
         self._unreported: list[str] = []
         self._in_flight = 0
         """Number of sends in flight."""
@@ -166,7 +166,7 @@
                 self._quarantine.release_answered(self.subject)
 
     def progressed(self) -> None:
-        """Clears the crashes of this trial: a back end made progress, so the request did not cause
+        """Clears the crashes of this request: a back end made progress, so the request did not cause
         them. If the request is a probe, it is released."""
         if self.ended or self._is_probe:
             self.ended.clear()
@@ -192,12 +192,12 @@
             self.report_crashes()
 
     def abandon(self) -> None:
-        """Ends the trial; a probe that no back end has run is returned for others to claim."""
+        """Stops tracking the request; a probe that no back end has run is returned for others to claim."""
         if self._is_probe and not self._may_have_run:
             self._quarantine.return_probe(self.subject)
         self._finish_probe()
 
     def close(self) -> None:
-        """Ends the trial, and reports crashes that no later progress has cleared."""
+        """Stops tracking the request, and reports crashes that no later progress has cleared."""
         self.report_crashes()
         self.abandon()
--- a/src/crankseam/requests/attempts.py
+++ b/src/crankseam/requests/attempts.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from crankseam.backoff import RetryBudget
-from crankseam.quarantine.request_tracker import Trial
+from crankseam.quarantine.request_tracker import RequestTracker
 from crankseam.requests.context import RequestContext
 
 MIN_REMAINING_S = 0.005
@@ -36,7 +36,7 @@
     return remaining_s >= MIN_REMAINING_S
 
 
-def may_retry_after_lost_answer(context: RequestContext, trial: Trial) -> bool:
+def may_retry_after_lost_answer(context: RequestContext, tracker: RequestTracker) -> bool:
     """Whether the request may be sent again after the answer to an attempt was lost.
 
     It may not if it must not be repeated, if a part of the answer has reached the caller, or if
@@ -44,4 +44,4 @@
     """
     if context.must_not_repeat or context.answer_started:
         return False
-    return trial.may_send()
+    return tracker.may_send()
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -31,9 +31,9 @@
 )
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import DeadlineExceeded, OutcomeUnknown, Unavailable
-from crankseam.quarantine.model import TrialSubject, name_of_end
+from crankseam.quarantine.model import RequestIdentity, name_of_end
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.request_tracker import Send, Trial
+from crankseam.quarantine.request_tracker import RequestTracker, Send
 from crankseam.requests import retry_after
 from crankseam.requests.attempts import (
     has_time_to_forward,
@@ -52,9 +52,9 @@
 """An answer with this status or a higher one means that the back end failed on the request."""
 
 
-def _trial_subject(context: RequestContext) -> TrialSubject:
+def _request_identity(context: RequestContext) -> RequestIdentity:
     http = context.http
-    return TrialSubject(
+    return RequestIdentity(
         context.request_id,
         NO_TENANT,
         context.service_name,
@@ -93,14 +93,16 @@
         """Forward the request; raises Problem if no attempt gave an answer."""
         self._budget.count_attempt()
         service = context.require_service()
-        trial = Trial(self._quarantine, _trial_subject(context), service.crash_limit)
-        await trial.admit()
+        tracker = RequestTracker(self._quarantine, _request_identity(context), service.crash_limit)
+        await tracker.admit()
         try:
-            return await self._attempt_until_answered(context, trial)
+            return await self._attempt_until_answered(context, tracker)
         finally:
-            trial.close()
+            tracker.close()
 
-    async def _attempt_until_answered(self, context: RequestContext, trial: Trial) -> Answer:
+    async def _attempt_until_answered(
+        self, context: RequestContext, tracker: RequestTracker
+    ) -> Answer:
         tried: set[str] = set()
         while True:
             choice = self._choose(context, frozenset(tried))
@@ -111,12 +113,12 @@
                 tried.add(choice.back_end.name)
                 continue
             try:
-                with trial.sending() as send:
+                with tracker.sending() as send:
                     return await self._attempt(context, choice.back_end, send)
             except _NotSent:
                 tried.add(choice.back_end.name)
             except OutcomeUnknown:
-                if not may_retry_after_lost_answer(context, trial):
+                if not may_retry_after_lost_answer(context, tracker):
                     raise
                 tried.add(choice.back_end.name)
             if not self._budget.try_spend():
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -25,9 +25,9 @@
 from crankseam.controllers.limit_shares import LimitShareController
 from crankseam.decisions import Candidate, Decision, DecisionLog
 from crankseam.peers.messages import CompletionOutcome
-from crankseam.quarantine.model import TrialSubject, name_of_end
+from crankseam.quarantine.model import RequestIdentity, name_of_end
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.request_tracker import Send, Trial
+from crankseam.quarantine.request_tracker import RequestTracker, Send
 from crankseam.rollout.executors import StreamExecutors
 from crankseam.rollout.messages import (
     SampleRequest,
@@ -104,14 +104,14 @@
         )
 
 
-def _make_trial_subject(job: SampleJob, generation_target: GenerationTarget) -> TrialSubject:
+def _make_request_identity(job: SampleJob, generation_target: GenerationTarget) -> RequestIdentity:
     """Return the quarantine's subject of a sample.
 
     Samples with the same prompt and `max_tokens` get the same fingerprint.
     """
     prompt = f"{job.request.max_tokens} {job.request.prompt}".encode()
     name = job.name(generation_target.trainer.name)
-    return TrialSubject(
+    return RequestIdentity(
         name,
         NO_TENANT,
         generation_target.pool.name,
@@ -190,28 +190,28 @@
             configuration may change between attempts.
         """
         generation_target = target()
-        trial = Trial(
+        tracker = RequestTracker(
             self._quarantine,
-            _make_trial_subject(job, generation_target),
+            _make_request_identity(job, generation_target),
             generation_target.pool.crash_limit,
         )
         try:
-            return await self._attempt_until_complete(job, generation, target, trial)
+            return await self._attempt_until_complete(job, generation, target, tracker)
         finally:
-            trial.abandon()
+            tracker.abandon()
 
     async def _attempt_until_complete(
         self,
         job: SampleJob,
         generation: int,
         target: Callable[[], GenerationTarget],
-        trial: Trial,
+        tracker: RequestTracker,
     ) -> SampleResult:
         backoff = Backoff(RETRY_BASE_DELAY_S, RETRY_MAX_JITTER_S)
         while True:
-            await trial.wait_admitted()
+            await tracker.wait_admitted()
             generation_target = target()
-            decision = await self._attempt_within_limit(job, generation_target, trial)
+            decision = await self._attempt_within_limit(job, generation_target, tracker)
             if decision is None:
                 await asyncio.sleep(RETRY_BASE_DELAY_S + backoff.next_delay())
                 continue
@@ -220,20 +220,20 @@
                 return job.result(generation_target.trainer.name, generation, decision.decision_id)
 
     async def _attempt_within_limit(
-        self, job: SampleJob, generation_target: GenerationTarget, trial: Trial
+        self, job: SampleJob, generation_target: GenerationTarget, tracker: RequestTracker
     ) -> Decision | None:
         """Make one attempt if the pool's limit permits; return None if none was started."""
         if generation_target.limit is None:
-            return await self._choose_and_attempt(job, generation_target, trial)
+            return await self._choose_and_attempt(job, generation_target, tracker)
         if not await self._shares.acquire(generation_target.limit):
             return None
         try:
-            return await self._choose_and_attempt(job, generation_target, trial)
+            return await self._choose_and_attempt(job, generation_target, tracker)
         finally:
             self._shares.share_of(generation_target.limit).release()
 
     async def _choose_and_attempt(
-        self, job: SampleJob, generation_target: GenerationTarget, trial: Trial
+        self, job: SampleJob, generation_target: GenerationTarget, tracker: RequestTracker
     ) -> Decision | None:
         if not self._may_send():
             return None
@@ -248,11 +248,11 @@
             return None
         self._decisions.record(decision)
         tokens_before = len(job.tokens)
-        with trial.sending() as send:
+        with tracker.sending() as send:
             await self._attempt(job, sampler, generation_target, send)
         if len(job.tokens) > tokens_before:
-            trial.progressed()
-        trial.report_if_held()
+            tracker.progressed()
+        tracker.report_if_held()
         return decision
 
     def has_eligible_sampler(self, generation_target: GenerationTarget) -> bool:
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -18,8 +18,8 @@
 from crankseam import clocks
 from crankseam.quarantine.crash_guard import CrashGuard
 from crankseam.quarantine.holding import default_crash_limit
-from crankseam.quarantine.model import TrialSubject
-from crankseam.quarantine.request_tracker import Send, Trial
+from crankseam.quarantine.model import RequestIdentity
+from crankseam.quarantine.request_tracker import RequestTracker, Send
 from crankseam.serving import retry
 from crankseam.serving.back_ends import BackEnd, BackEndRegistry
 from crankseam.serving.choice import choose_back_end
@@ -51,7 +51,7 @@
     route: Route
     service: str
     give_up_at: float
-    trial: Trial
+    tracker: RequestTracker
     history: AttemptHistory = field(default_factory=AttemptHistory)
 
 
@@ -95,9 +95,11 @@
         """
         service = self._splitter.pick(route)
         give_up_at = retry.give_up_time(request, route)
-        trial = self._guard.begin(trial_subject(request, route), default_crash_limit(route.kind))
-        await trial.admit()
-        forwarding = _Forwarding(request, route, service, give_up_at, trial)
+        tracker = self._guard.begin(
+            request_identity(request, route), default_crash_limit(route.kind)
+        )
+        await tracker.admit()
+        forwarding = _Forwarding(request, route, service, give_up_at, tracker)
         history = forwarding.history
         answer: Answer | StreamingAnswer | None = None
         try:
@@ -109,7 +111,7 @@
             history.reasons.append(retry.give_up_reason(request, route))
         finally:
             if not isinstance(answer, StreamingAnswer):
-                trial.close()
+                tracker.close()
             if history.began_at is not None:
                 for notify in self.on_started:
                     notify(request.tenant, history.began_at)
@@ -127,7 +129,7 @@
         while retry.has_attempts_left(route, history):
             if clocks.promised_s() >= forwarding.give_up_at:
                 raise TimeoutError
-            if retry.is_rejected_too_often(history) or not forwarding.trial.may_send():
+            if retry.is_rejected_too_often(history) or not forwarding.tracker.may_send():
                 return None
             first = self._choose(forwarding)
             if first is None:
@@ -185,7 +187,7 @@
         history = forwarding.history
         if not retry.has_attempts_left(forwarding.route, history):
             return None
-        if not forwarding.trial.may_send():
+        if not forwarding.tracker.may_send():
             return None
         second = self._choose(forwarding)
         if second is None or second.record.id in history.tried:
@@ -201,7 +203,7 @@
         back_end.occupy_slot()
         sent_at, may_have_run = clocks.promised_s(), True
         try:
-            with forwarding.trial.sending() as send:
+            with forwarding.tracker.sending() as send:
                 answer = await self._send(forwarding, back_end, send)
         except AttemptNotRun as rejection:
             may_have_run = False
@@ -221,7 +223,7 @@
     async def _send(
         self, forwarding: _Forwarding, back_end: BackEnd, send: Send
     ) -> Answer | StreamingAnswer:
-        """Send the request once, and record the outcome for its quarantine trial."""
+        """Send the request once, and record the outcome for its request tracker."""
         relay = forwarding.route.kind is not RequestKind.REPEATABLE
         try:
             answer = await self._client.send(
@@ -248,7 +250,9 @@
         """Return the answer for the caller; None if another attempt may follow."""
         if isinstance(answer, StreamingAnswer):
             back_end.record_success()
-            return replace(answer, chunks=self._monitored_body(answer, back_end, forwarding.trial))
+            return replace(
+                answer, chunks=self._monitored_body(answer, back_end, forwarding.tracker)
+            )
         if retry.is_retryable(forwarding.route, answer):
             forwarding.history.record_server_error(back_end.record.id, answer)
             back_end.record_failure()
@@ -257,14 +261,14 @@
         return answer
 
     async def _monitored_body(
-        self, answer: StreamingAnswer, back_end: BackEnd, trial: Trial
+        self, answer: StreamingAnswer, back_end: BackEnd, tracker: RequestTracker
     ) -> AsyncGenerator[bytes, None]:
         """Forward the body of an answer while it is received, and record how it ended.
 
         The back end may terminate before the body is complete.
         """
         try:
-            with trial.sending() as send:
+            with tracker.sending() as send:
                 async with aclosing(answer.chunks) as chunks:
                     try:
                         async for chunk in chunks:
@@ -274,11 +278,11 @@
                         raise
                 send.was_answered = not retry.is_server_error(answer)
         finally:
-            trial.close()
+            tracker.close()
 
 
 def _log_outcome(forwarding: _Forwarding, answer: Answer | StreamingAnswer | None) -> None:
-    request, history, trial = forwarding.request, forwarding.history, forwarding.trial
+    request, history, tracker = forwarding.request, forwarding.history, forwarding.tracker
     log.info(
         "request_answered" if answer is not None else "request_given_up",
         extra={
@@ -289,16 +293,16 @@
             "status": answer.status if answer is not None else None,
             "attempts": sorted(history.tried),
             "reasons": history.reasons,
-            "ended": trial.ended,
-            "fingerprint": trial.subject.fingerprint if trial.ended else "",
+            "ended": tracker.ended,
+            "fingerprint": tracker.subject.fingerprint if tracker.ended else "",
             "seconds": round(clocks.promised_s() - request.received_at, 4),
         },
     )
 
 
-def trial_subject(request: InboundRequest, route: Route) -> TrialSubject:
+def request_identity(request: InboundRequest, route: Route) -> RequestIdentity:
     """Return the parts of a request that the quarantine compares and that its log lines contain."""
-    return TrialSubject(
+    return RequestIdentity(
         request.id,
         request.tenant,
         route.name,
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -4,9 +4,9 @@
 
 from crankseam.coordination.follower import PrefixFollower
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.model import RequestIdentity
 from crankseam.quarantine.parts import make_quarantine
-from crankseam.quarantine.request_tracker import Trial
+from crankseam.quarantine.request_tracker import RequestTracker
 from crankseam.serving.ended_back_ends import EndedBackEnds
 from crankseam.serving.supervisor import Supervisor
 from crankseam_standins.memory_store import MemoryStore
@@ -38,7 +38,7 @@
 
 
 def make_subject(body=b"body", request_id="r1", tenant="t"):
-    return TrialSubject(request_id, tenant, "route", "POST", "host", "/p", body)
+    return RequestIdentity(request_id, tenant, "route", "POST", "host", "/p", body)
 
 
 class Process:
@@ -60,8 +60,8 @@
         for peer in self.peers:
             await peer.publisher.serve(raw)
 
-    def trial(self, subject=None, crash_limit=2):
-        return Trial(self.quarantine, subject or make_subject(), crash_limit)
+    def tracker(self, subject=None, crash_limit=2):
+        return RequestTracker(self.quarantine, subject or make_subject(), crash_limit)
 
     def knows(self, subject=None, crashes=1):
         found = self.table.find((subject or make_subject()).fingerprint)
@@ -79,7 +79,7 @@
     await eventually(lambda: all(process.knows(subject, crashes) for process in processes), "known")
 
 
-def send(trial, ended="", answered=False, not_run=False):
-    """Makes one send of a trial with the given outcome."""
-    with trial.sending() as sent:
+def send(tracker, ended="", answered=False, not_run=False):
+    """Sends the tracked request once, with the given outcome."""
+    with tracker.sending() as sent:
         sent.ended_id, sent.was_answered, sent.was_not_run = ended, answered, not_run
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankseam.serving.forwarding import trial_subject
+from crankseam.serving.forwarding import request_identity
 from crankseam.serving.messages import InboundRequest
 from crankseam.serving.routes import RequestKind, Route
 
@@ -23,7 +23,7 @@
 
 def request_fingerprint(request):
     """Returns the fingerprint that the forwarder computes."""
-    return trial_subject(request, ROUTE).fingerprint
+    return request_identity(request, ROUTE).fingerprint
 
 
 def test_what_changes_when_a_request_comes_again_is_no_part_of_it():
--- a/tests/quarantine/test_publisher.py
+++ b/tests/quarantine/test_publisher.py
@@ -30,9 +30,9 @@
 
 
 def end(process, back_end="b1"):
-    trial = process.trial()
-    send(trial, ended=back_end)
-    trial.close()
+    tracker = process.tracker()
+    send(tracker, ended=back_end)
+    tracker.close()
 
 
 async def test_while_the_store_is_away_peers_are_told_once_and_it_is_stored_later(pair):
@@ -102,7 +102,7 @@
     monkeypatch.setattr("crankseam.quarantine.table.MAX_SUSPECTS", 2)
     subjects = [make_subject(body=bytes([number])) for number in range(4)]
     for subject in subjects:
-        one = pair[0].trial(subject)
+        one = pair[0].tracker(subject)
         send(one, ended="b1")
         one.close()
         await wait_known_everywhere(pair, subject)
--- a/tests/quarantine/test_quarantine_machine.py
+++ b/tests/quarantine/test_quarantine_machine.py
@@ -65,37 +65,39 @@
 
         Each back end also runs the requests in `neighbours`, and its crash counts against them too.
         """
-        trial = self.processes[process].trial(subject)
-        neighbour_trials = [self.processes[process].trial(neighbour) for neighbour in neighbours]
+        tracker = self.processes[process].tracker(subject)
+        neighbour_trackers = [
+            self.processes[process].tracker(neighbour) for neighbour in neighbours
+        ]
         with suppress(RequestHeld):
-            await trial.admit()
-            while trial.may_send():
+            await tracker.admit()
+            while tracker.may_send():
                 ended = self._new_crash_id()
                 self.crash_counts[subject.fingerprint] += 1
-                with trial.sending() as sent:
+                with tracker.sending() as sent:
                     sent.ended_id = ended
-                for other in neighbour_trials:
+                for other in neighbour_trackers:
                     if other.may_send():
                         with other.sending() as sent:
                             sent.ended_id = ended
-        trial.close()
-        for other in neighbour_trials:
+        tracker.close()
+        for other in neighbour_trackers:
             other.close()
         await asyncio.sleep(0.02)
 
     async def _serve(self, process, subject):
         """Sends a healthy request; returns whether it was served."""
-        trial = self.processes[process].trial(subject)
+        tracker = self.processes[process].tracker(subject)
         try:
-            await trial.admit()
-            if not trial.may_send():
+            await tracker.admit()
+            if not tracker.may_send():
                 return False
-            with trial.sending() as sent:
+            with tracker.sending() as sent:
                 sent.was_answered = True
         except RequestHeld:
             return False
         finally:
-            trial.close()
+            tracker.close()
             await asyncio.sleep(0.01)
         return True
 
@@ -109,13 +111,13 @@
     @rule(process=PROCESS_INDEX, number=st.integers(0, len(HEALTHY) - 1))
     def back_end_crashes_under_a_healthy_request(self, process, number):
         async def crash():
-            trial = self.processes[process].trial(HEALTHY[number])
+            tracker = self.processes[process].tracker(HEALTHY[number])
             with suppress(RequestHeld):
-                await trial.admit()
-                if trial.may_send():
-                    with trial.sending() as sent:
+                await tracker.admit()
+                if tracker.may_send():
+                    with tracker.sending() as sent:
                         sent.ended_id = self._new_crash_id()
-            trial.close()
+            tracker.close()
             await asyncio.sleep(0.02)
 
         self._run_async(crash())
--- a/tests/quarantine/test_request_tracker.py
+++ b/tests/quarantine/test_request_tracker.py
@@ -31,43 +31,43 @@
 async def hold(processes, subject=None, crashes=("b1", "b2")):
     """Lets the given back ends crash under a request, each at another process."""
     for number, ended in enumerate(crashes):
-        trial = processes[number % len(processes)].trial(subject)
-        send(trial, ended=ended)
-        trial.close()
+        tracker = processes[number % len(processes)].tracker(subject)
+        send(tracker, ended=ended)
+        tracker.close()
     await wait_known_everywhere(processes, subject, len(crashes))
 
 
 async def test_ends_at_several_processes_count_together(processes):
-    first = processes[0].trial()
+    first = processes[0].tracker()
     send(first, ended="b1")
     assert first.may_send(), "a request interrupted by one crash gets a second attempt"
     first.close()
     await wait_known_everywhere(processes)
-    second = processes[1].trial()
+    second = processes[1].tracker()
     assert second.may_send()
     send(second, ended="b2")
     assert not second.may_send()
     second.close()
     await wait_known_everywhere(processes, crashes=2)
     with pytest.raises(RequestHeld) as held:
-        await processes[2].trial().admit()
+        await processes[2].tracker().admit()
     assert held.value.outcome == OUTCOME_NOT_RUN and 0 < held.value.retry_after <= 3.0
 
 
 async def test_the_same_end_told_twice_counts_once(processes):
     await hold(processes, crashes=("b1", "b1", "b1")[:1])
-    trial = processes[1].trial()
-    send(trial, ended="b1")
-    assert trial.may_send()
+    tracker = processes[1].tracker()
+    send(tracker, ended="b1")
+    assert tracker.may_send()
 
 
 async def test_a_held_request_is_tried_by_one_process_at_a_time(processes, short_holds):
     await hold(processes)
     await asyncio.sleep(0.06)
-    trials = [one.trial() for one in processes]
-    results = await asyncio.gather(*(one.admit() for one in trials), return_exceptions=True)
+    trackers = [one.tracker() for one in processes]
+    results = await asyncio.gather(*(one.admit() for one in trackers), return_exceptions=True)
     assert [type(one) for one in results].count(RequestHeld) == 2
-    winner = trials[results.index(None)]
+    winner = trackers[results.index(None)]
     with winner.sending() as sent:
         assert not winner.may_send(), "a probe is sent to one back end at a time"
         sent.ended_id = "b3"
@@ -84,7 +84,7 @@
         suspect = processes[0].table.find(fingerprint)
         holds.append(suspect.record.hold_duration_s())
         await eventually(lambda suspect=suspect: suspect.held_for_s() == 0.0)
-        probe = processes[0].trial()
+        probe = processes[0].tracker()
         await probe.admit()
         send(probe, ended=f"p{number}")
         probe.close()
@@ -103,7 +103,7 @@
 async def test_a_whole_answer_frees_it_everywhere(processes, short_holds):
     await hold(processes)
     await asyncio.sleep(0.06)
-    probe = processes[2].trial()
+    probe = processes[2].tracker()
     await probe.admit()
     send(probe, answered=True)
     probe.close()
@@ -112,7 +112,7 @@
 
 
 async def test_a_run_that_began_before_it_was_held_frees_it_too(processes):
-    running = processes[2].trial()
+    running = processes[2].tracker()
     with running.sending() as sent:
         await hold(processes)
         sent.was_answered = True
@@ -122,7 +122,7 @@
 async def test_a_probe_that_no_back_end_ran_does_not_count(processes, short_holds):
     await hold(processes)
     await asyncio.sleep(0.06)
-    probe = processes[0].trial()
+    probe = processes[0].tracker()
     await probe.admit()
     send(probe, not_run=True)
     probe.close()
@@ -137,7 +137,7 @@
     for subject in subjects:
         await hold(processes, subject)
     await asyncio.sleep(0.06)
-    first, second = (processes[0].trial(subject) for subject in subjects)
+    first, second = (processes[0].tracker(subject) for subject in subjects)
     await first.wait_admitted()
     waiting = asyncio.create_task(second.wait_admitted())
     with first.sending() as sent:
@@ -156,7 +156,7 @@
     for subject in subjects:
         await hold(processes, subject)
     await asyncio.sleep(0.06)
-    first, second = (processes[0].trial(subject) for subject in subjects)
+    first, second = (processes[0].tracker(subject) for subject in subjects)
     await first.wait_admitted()
     first.abandon()
     async with asyncio.timeout(5):
@@ -168,30 +168,30 @@
     processes[0].store.faults.down = True
     await asyncio.sleep(0.06)
     with pytest.raises(RequestHeld):
-        await processes[0].trial().admit()
+        await processes[0].tracker().admit()
 
 
 async def test_a_second_send_beside_one_counts_as_an_end_that_may_come(processes):
-    trial = processes[0].trial()
-    with trial.sending():
-        assert trial.may_send()
-        with trial.sending():
-            assert not trial.may_send()
-    send(trial, ended="b1")
-    with trial.sending():
-        assert not trial.may_send()
+    tracker = processes[0].tracker()
+    with tracker.sending():
+        assert tracker.may_send()
+        with tracker.sending():
+            assert not tracker.may_send()
+    send(tracker, ended="b1")
+    with tracker.sending():
+        assert not tracker.may_send()
 
 
 async def test_a_send_that_is_cancelled_counts_no_more(processes):
-    trial = processes[0].trial()
-    with pytest.raises(asyncio.CancelledError), trial.sending():
+    tracker = processes[0].tracker()
+    with pytest.raises(asyncio.CancelledError), tracker.sending():
         raise asyncio.CancelledError
-    with trial.sending():
-        assert trial.may_send()
+    with tracker.sending():
+        assert tracker.may_send()
 
 
 async def test_an_item_that_goes_on_is_no_suspect(processes):
-    item = processes[0].trial(crash_limit=3)
+    item = processes[0].tracker(crash_limit=3)
     send(item, ended="b1")
     send(item, ended="b2")
     item.progressed()
@@ -201,7 +201,7 @@
 
 
 async def test_an_item_waits_until_it_may_be_tried(processes, short_holds):
-    item = processes[0].trial(crash_limit=3)
+    item = processes[0].tracker(crash_limit=3)
     for ended in ("b1", "b2", "b3"):
         assert item.may_send()
         send(item, ended=ended)
@@ -217,11 +217,11 @@
 async def test_others_are_not_touched(processes):
     await hold(processes)
     for other in (make_subject(tenant="u"), make_subject(body=b"ydob"), make_subject(body=b"")):
-        await processes[0].trial(other).admit()
+        await processes[0].tracker(other).admit()
 
 
 async def test_an_empty_body_is_told_by_its_target(processes):
     empty = make_subject(body=b"")
     await hold(processes, empty)
     with pytest.raises(RequestHeld):
-        await processes[0].trial(empty).admit()
+        await processes[0].tracker(empty).admit()
