--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -82,7 +82,7 @@
     return ItemResult(item.id, True, "\n".join(text.events), list(text.versions))
 
 
-def _subject(job: JobDefinition, item: ItemDefinition) -> RequestIdentity:
+def _request_identity(job: JobDefinition, item: ItemDefinition) -> RequestIdentity:
     return RequestIdentity(item.id, job.tenant, "", "POST", job.host, item.path, item.body)
 
 
@@ -134,7 +134,7 @@
         self._places = RoutedPlaces(parts.dispatcher, parts.splitter)
         self._client = parts.client
         self._guard = parts.guard
-        self._tracker = parts.guard.begin(_subject(job, item), DEFAULT_ITEM_CRASH_LIMIT)
+        self._tracker = parts.guard.begin(_request_identity(job, item), DEFAULT_ITEM_CRASH_LIMIT)
         self.kept = kept
         self._is_expected_long = is_long
         self._created_at = time.monotonic()
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -59,7 +59,7 @@
         """
 
 
-def _subject(request: ScoringRequest) -> RequestIdentity:
+def _request_identity(request: ScoringRequest) -> RequestIdentity:
     return RequestIdentity(
         request.id, NO_TENANT, "", "POST", request.host, request.path, request.body
     )
@@ -144,7 +144,7 @@
     ) -> None:
         self._client = client
         self._guard = guard
-        self.tracker = guard.begin(_subject(request), DEFAULT_CRASH_LIMIT)
+        self.tracker = guard.begin(_request_identity(request), DEFAULT_CRASH_LIMIT)
         self._job = job
         self._item = item
         self._request = request
--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -26,9 +26,9 @@
         self._quarantine = quarantine
         self._ended_back_ends = ended_back_ends
 
-    def begin(self, subject: RequestIdentity, crash_limit: int) -> RequestTracker:
+    def begin(self, identity: RequestIdentity, crash_limit: int) -> RequestTracker:
         """Returns the tracker of a request that is about to be sent."""
-        return RequestTracker(self._quarantine, subject, crash_limit)
+        return RequestTracker(self._quarantine, identity, crash_limit)
 
     async def ended_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
         """Returns the id of a back end that crashed under an attempt; empty if it did not crash."""
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -82,10 +82,10 @@
     return f"{back_end}@{time.time():.3f}"
 
 
-def initial_record(subject: RequestIdentity, ended: list[str]) -> SuspectRecord:
+def initial_record(identity: RequestIdentity, ended: list[str]) -> SuspectRecord:
     """Returns the first record of a request under which the back ends in `ended` crashed."""
     return SuspectRecord(
-        list(dict.fromkeys(ended)), 0, subject.route, subject.tenant, len(subject.body)
+        list(dict.fromkeys(ended)), 0, identity.route, identity.tenant, len(identity.body)
     )
 
 
--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -73,24 +73,24 @@
         """Returns all known suspects with their fingerprints, the most recently changed first."""
         return sorted(self._table, key=lambda pair: pair[1].changed_at, reverse=True)
 
-    def find(self, subject: RequestIdentity) -> Suspect | None:
+    def find(self, identity: RequestIdentity) -> Suspect | None:
         """Returns the suspect that a request matches, if any.
 
         The fingerprint is computed only if a suspect has a body of the same length.
         """
-        if not self._table.has_body_length(len(subject.body)):
+        if not self._table.has_body_length(len(identity.body)):
             return None
-        return self._table.find(subject.fingerprint)
+        return self._table.find(identity.fingerprint)
 
     # --- reports and releases
 
-    def report_crashes(self, subject: RequestIdentity, ended: list[str]) -> None:
+    def report_crashes(self, identity: RequestIdentity, ended: list[str]) -> None:
         """Reports to all processes that back ends crashed under a request."""
-        self._publisher.publish(subject.fingerprint, initial_record(subject, ended))
+        self._publisher.publish(identity.fingerprint, initial_record(identity, ended))
 
-    def release_answered(self, subject: RequestIdentity) -> None:
+    def release_answered(self, identity: RequestIdentity) -> None:
         """Releases a request that a back end answered completely: it crashes no back end."""
-        self.release(subject.fingerprint, ANSWERED)
+        self.release(identity.fingerprint, ANSWERED)
 
     def release(self, fingerprint: str, cause: str) -> bool:
         """Releases a suspect, here at once and in all other processes soon after.
@@ -127,7 +127,7 @@
 
     # --- probes
 
-    async def claim_probe(self, subject: RequestIdentity) -> bool:
+    async def claim_probe(self, identity: RequestIdentity) -> bool:
         """Claims the right to send a held request once; at most one process succeeds.
 
         A process probes one suspect at a time. Otherwise the request that causes the crashes could
@@ -135,45 +135,45 @@
         against that one. This limit reduced the total wait of healthy items from 178 s to 72 s over
         eight soak runs of half a minute.
         """
-        suspect = self._table.find(subject.fingerprint)
+        suspect = self._table.find(identity.fingerprint)
         if suspect is None or suspect.revision == ABSENT or suspect.held_for_s() > 0.0:
             return False
         if self._probing:
             return False
         record = suspect.record.with_probes(suspect.record.probes + 1)
-        self._probing.add(subject.fingerprint)
-        if not await self._replace_record(subject, record, suspect.revision):
-            self._probing.discard(subject.fingerprint)
+        self._probing.add(identity.fingerprint)
+        if not await self._replace_record(identity, record, suspect.revision):
+            self._probing.discard(identity.fingerprint)
             return False
         log.info(
             "suspect_probed",
             extra={
-                "request": subject.id,
-                "fingerprint": subject.fingerprint,
+                "request": identity.id,
+                "fingerprint": identity.fingerprint,
                 "probes": record.probes,
                 "ended": record.ended,
             },
         )
         return True
 
-    def finish_probe(self, subject: RequestIdentity) -> None:
+    def finish_probe(self, identity: RequestIdentity) -> None:
         """Ends this process's probe of a request, whether it has an outcome or is abandoned."""
-        self._probing.discard(subject.fingerprint)
+        self._probing.discard(identity.fingerprint)
 
-    def return_probe(self, subject: RequestIdentity) -> None:
+    def return_probe(self, identity: RequestIdentity) -> None:
         """Returns a claimed probe that no back end has run, so that it does not count."""
-        self._run_once(lambda: self._return_probe(subject), "give back probe")
+        self._run_once(lambda: self._return_probe(identity), "give back probe")
 
-    async def _return_probe(self, subject: RequestIdentity) -> None:
-        suspect = self._table.find(subject.fingerprint)
+    async def _return_probe(self, identity: RequestIdentity) -> None:
+        suspect = self._table.find(identity.fingerprint)
         if suspect is not None and suspect.record.probes:
             record = suspect.record.with_probes(suspect.record.probes - 1)
-            await self._replace_record(subject, record, suspect.revision)
+            await self._replace_record(identity, record, suspect.revision)
 
     async def _replace_record(
-        self, subject: RequestIdentity, record: SuspectRecord, revision: int
+        self, identity: RequestIdentity, record: SuspectRecord, revision: int
     ) -> bool:
-        fingerprint = subject.fingerprint
+        fingerprint = identity.fingerprint
         try:
             async with asyncio.timeout(CLAIM_TIMEOUT_S):
                 new_revision = await self._store.replace(fingerprint, record, revision)
--- a/src/crankseam/quarantine/request_tracker.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -46,9 +46,9 @@
         is held.
     """
 
-    def __init__(self, quarantine: Quarantine, subject: RequestIdentity, crash_limit: int) -> None:
+    def __init__(self, quarantine: Quarantine, identity: RequestIdentity, crash_limit: int) -> None:
         self._quarantine = quarantine
-        self.subject = subject
+        self.identity = identity
         self._crash_limit = crash_limit
         self.ended: list[str] = []
         """Ids of the back ends that crashed under this request."""
@@ -63,7 +63,7 @@
 
     def _held_suspect(self) -> Suspect | None:
         """Returns the suspect that the request matches, if it is held."""
-        suspect = self._quarantine.find(self.subject)
+        suspect = self._quarantine.find(self.identity)
         if suspect is None or not suspect.record.is_held(self._crash_limit):
             return None
         return suspect
@@ -83,15 +83,15 @@
         log.info(
             "request_held",
             extra={
-                "request": self.subject.id,
-                "fingerprint": self.subject.fingerprint,
+                "request": self.identity.id,
+                "fingerprint": self.identity.fingerprint,
                 "ended": suspect.record.ended,
                 "probes": suspect.record.probes,
                 "seconds": round(retry_after_s, 3),
             },
         )
         ended = ", ".join(suspect.record.ended)
-        detail = f"back ends ended under this request ({self.subject.fingerprint}): {ended}"
+        detail = f"back ends ended under this request ({self.identity.fingerprint}): {ended}"
         raise RequestHeld(detail, OUTCOME_NOT_RUN, retry_after_s)
 
     def is_admitted(self) -> bool:
@@ -106,8 +106,8 @@
         log.info(
             "item_held",
             extra={
-                "item": self.subject.id,
-                "fingerprint": self.subject.fingerprint,
+                "item": self.identity.id,
+                "fingerprint": self.identity.fingerprint,
                 "ended": suspect.record.ended,
                 "probes": suspect.record.probes,
             },
@@ -119,7 +119,7 @@
     async def _claim_probe(self, suspect: Suspect) -> bool:
         if suspect.held_for_s() > 0.0:
             return False
-        self._is_probe = await self._quarantine.claim_probe(self.subject)
+        self._is_probe = await self._quarantine.claim_probe(self.identity)
         self._may_have_run = False
         return self._is_probe
 
@@ -131,7 +131,7 @@
         if self._is_probe:
             return not self._in_flight
         ended = set(self.ended)
-        suspect = self._quarantine.find(self.subject)
+        suspect = self._quarantine.find(self.identity)
         if suspect is not None:
             ended.update(suspect.record.ended)
         return holding.may_send_again(len(ended), self._in_flight, self._crash_limit)
@@ -162,8 +162,8 @@
             self._unreported.append(send.ended_id)
         elif send.was_answered:
             self.progressed()
-            if self._quarantine.find(self.subject) is not None:
-                self._quarantine.release_answered(self.subject)
+            if self._quarantine.find(self.identity) is not None:
+                self._quarantine.release_answered(self.identity)
 
     def progressed(self) -> None:
         """Clears the crashes of this request: a back end made progress, so the request did not cause
@@ -173,17 +173,17 @@
             self._unreported.clear()
             if self._is_probe:
                 self._finish_probe()
-                self._quarantine.release_answered(self.subject)
+                self._quarantine.release_answered(self.identity)
 
     def _finish_probe(self) -> None:
         if self._is_probe:
             self._is_probe = False
-            self._quarantine.finish_probe(self.subject)
+            self._quarantine.finish_probe(self.identity)
 
     def report_crashes(self) -> None:
         """Reports the crashes that are not reported yet to all processes."""
         if self._unreported:
-            self._quarantine.report_crashes(self.subject, self._unreported)
+            self._quarantine.report_crashes(self.identity, self._unreported)
             self._unreported = []
 
     def report_if_held(self) -> None:
@@ -194,7 +194,7 @@
     def abandon(self) -> None:
         """Stops tracking the request; a probe that no back end has run is returned for others to claim."""
         if self._is_probe and not self._may_have_run:
-            self._quarantine.return_probe(self.subject)
+            self._quarantine.return_probe(self.identity)
         self._finish_probe()
 
     def close(self) -> None:
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -105,7 +105,7 @@
 
 
 def _make_request_identity(job: SampleJob, generation_target: GenerationTarget) -> RequestIdentity:
-    """Return the quarantine's subject of a sample.
+    """Return the identity of a sample for the quarantine.
 
     Samples with the same prompt and `max_tokens` get the same fingerprint.
     """
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -294,7 +294,7 @@
             "attempts": sorted(history.tried),
             "reasons": history.reasons,
             "ended": tracker.ended,
-            "fingerprint": tracker.subject.fingerprint if tracker.ended else "",
+            "fingerprint": tracker.identity.fingerprint if tracker.ended else "",
             "seconds": round(clocks.promised_s() - request.received_at, 4),
         },
     )
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -37,7 +37,7 @@
     return CrashGuard(parts.quarantine, EndedBackEnds(registry, addresses or FakeAddressProbe()))
 
 
-def make_subject(body=b"body", request_id="r1", tenant="t"):
+def make_identity(body=b"body", request_id="r1", tenant="t"):
     return RequestIdentity(request_id, tenant, "route", "POST", "host", "/p", body)
 
 
@@ -60,11 +60,11 @@
         for peer in self.peers:
             await peer.publisher.serve(raw)
 
-    def tracker(self, subject=None, crash_limit=2):
-        return RequestTracker(self.quarantine, subject or make_subject(), crash_limit)
+    def tracker(self, identity=None, crash_limit=2):
+        return RequestTracker(self.quarantine, identity or make_identity(), crash_limit)
 
-    def knows(self, subject=None, crashes=1):
-        found = self.table.find((subject or make_subject()).fingerprint)
+    def knows(self, identity=None, crashes=1):
+        found = self.table.find((identity or make_identity()).fingerprint)
         return found is not None and len(found.record.ended) >= crashes
 
     async def ready(self):
@@ -75,8 +75,10 @@
         await self.supervisor.stop()
 
 
-async def wait_known_everywhere(processes, subject=None, crashes=1):
-    await eventually(lambda: all(process.knows(subject, crashes) for process in processes), "known")
+async def wait_known_everywhere(processes, identity=None, crashes=1):
+    await eventually(
+        lambda: all(process.knows(identity, crashes) for process in processes), "known"
+    )
 
 
 def send(tracker, ended="", answered=False, not_run=False):
--- a/tests/quarantine/test_publisher.py
+++ b/tests/quarantine/test_publisher.py
@@ -7,13 +7,13 @@
 from tests.quarantine.factories import (
     STATE_PREFIX,
     Process,
-    make_subject,
+    make_identity,
     send,
     wait_known_everywhere,
 )
 from tests.support.waiting import eventually
 
-FINGERPRINT = make_subject().fingerprint
+FINGERPRINT = make_identity().fingerprint
 
 
 @pytest.fixture
@@ -100,13 +100,13 @@
 
 async def test_one_that_gives_way_leaves_the_store_too(pair, monkeypatch):
     monkeypatch.setattr("crankseam.quarantine.table.MAX_SUSPECTS", 2)
-    subjects = [make_subject(body=bytes([number])) for number in range(4)]
-    for subject in subjects:
-        one = pair[0].tracker(subject)
+    identities = [make_identity(body=bytes([number])) for number in range(4)]
+    for identity in identities:
+        one = pair[0].tracker(identity)
         send(one, ended="b1")
         one.close()
-        await wait_known_everywhere(pair, subject)
+        await wait_known_everywhere(pair, identity)
     keys = [key for key in pair[0].store.entries if "suspect" in key]
     assert sorted(keys) == sorted(
-        f"{STATE_PREFIX}suspect/{one.fingerprint}" for one in subjects[2:]
+        f"{STATE_PREFIX}suspect/{one.fingerprint}" for one in identities[2:]
     )
--- a/tests/quarantine/test_quarantine_machine.py
+++ b/tests/quarantine/test_quarantine_machine.py
@@ -11,13 +11,13 @@
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
 from crankseam_standins.memory_store import MemoryStore
-from tests.quarantine.factories import Process, make_subject
+from tests.quarantine.factories import Process, make_identity
 
 PROCESSES = 3
 SHORT_TIMES = {(holding, "FIRST_HOLD_S"): 0.04, (holding, "PROBE_RETRY_S"): 0.02}
 PROCESS_INDEX = st.integers(0, PROCESSES - 1)
-CULPRITS = [make_subject(body=b"culprit 0"), make_subject(body=b"culprit 1")]
-HEALTHY = [make_subject(body=b"healthy %d" % number) for number in range(4)]
+CULPRITS = [make_identity(body=b"culprit 0"), make_identity(body=b"culprit 1")]
+HEALTHY = [make_identity(body=b"healthy %d" % number) for number in range(4)]
 CRASH_LIMIT = 2
 LONGEST_HOLD_S = 0.04 * holding.HOLD_FACTOR ** (holding.MAX_PROBES - 1)
 
@@ -33,7 +33,7 @@
         self.loop = asyncio.new_event_loop()
         self.store = MemoryStore()
         self.back_ends = 0
-        self.crash_counts = {subject.fingerprint: 0 for subject in CULPRITS}
+        self.crash_counts = {identity.fingerprint: 0 for identity in CULPRITS}
         self.processes = []
         self._run_async(self._start())
 
@@ -60,12 +60,12 @@
         self.back_ends += 1
         return f"b{self.back_ends}"
 
-    async def _attempt(self, process, subject, neighbours=()):
+    async def _attempt(self, process, identity, neighbours=()):
         """Sends a request that crashes each back end, as the forwarder does.
 
         Each back end also runs the requests in `neighbours`, and its crash counts against them too.
         """
-        tracker = self.processes[process].tracker(subject)
+        tracker = self.processes[process].tracker(identity)
         neighbour_trackers = [
             self.processes[process].tracker(neighbour) for neighbour in neighbours
         ]
@@ -73,7 +73,7 @@
             await tracker.admit()
             while tracker.may_send():
                 ended = self._new_crash_id()
-                self.crash_counts[subject.fingerprint] += 1
+                self.crash_counts[identity.fingerprint] += 1
                 with tracker.sending() as sent:
                     sent.ended_id = ended
                 for other in neighbour_trackers:
@@ -85,9 +85,9 @@
             other.close()
         await asyncio.sleep(0.02)
 
-    async def _serve(self, process, subject):
+    async def _serve(self, process, identity):
         """Sends a healthy request; returns whether it was served."""
-        tracker = self.processes[process].tracker(subject)
+        tracker = self.processes[process].tracker(identity)
         try:
             await tracker.admit()
             if not tracker.may_send():
@@ -102,11 +102,11 @@
         return True
 
     @rule(
-        process=PROCESS_INDEX, subject=st.sampled_from(CULPRITS), neighbours=st.sets(PROCESS_INDEX)
+        process=PROCESS_INDEX, identity=st.sampled_from(CULPRITS), neighbours=st.sets(PROCESS_INDEX)
     )
-    def culprit_returns(self, process, subject, neighbours):
-        neighbour_subjects = [HEALTHY[number] for number in neighbours]
-        self._run_async(self._attempt(process, subject, neighbour_subjects))
+    def culprit_returns(self, process, identity, neighbours):
+        neighbour_identities = [HEALTHY[number] for number in neighbours]
+        self._run_async(self._attempt(process, identity, neighbour_identities))
 
     @rule(process=PROCESS_INDEX, number=st.integers(0, len(HEALTHY) - 1))
     def back_end_crashes_under_a_healthy_request(self, process, number):
@@ -154,7 +154,7 @@
     def an_unknown_healthy_request_is_served(self):
         if not self.processes:
             return
-        fresh = make_subject(body=b"fresh %d" % self.back_ends)
+        fresh = make_identity(body=b"fresh %d" % self.back_ends)
         assert self._run_async(self._serve(0, fresh))
 
     def check_healthy_requests_are_released(self):
--- a/tests/quarantine/test_request_tracker.py
+++ b/tests/quarantine/test_request_tracker.py
@@ -6,7 +6,7 @@
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
 from crankseam_standins.memory_store import MemoryStore
-from tests.quarantine.factories import Process, make_subject, send, wait_known_everywhere
+from tests.quarantine.factories import Process, make_identity, send, wait_known_everywhere
 from tests.support.waiting import eventually
 
 
@@ -28,13 +28,13 @@
     monkeypatch.setattr(holding, "PROBE_RETRY_S", 0.05)
 
 
-async def hold(processes, subject=None, crashes=("b1", "b2")):
+async def hold(processes, identity=None, crashes=("b1", "b2")):
     """Lets the given back ends crash under a request, each at another process."""
     for number, ended in enumerate(crashes):
-        tracker = processes[number % len(processes)].tracker(subject)
+        tracker = processes[number % len(processes)].tracker(identity)
         send(tracker, ended=ended)
         tracker.close()
-    await wait_known_everywhere(processes, subject, len(crashes))
+    await wait_known_everywhere(processes, identity, len(crashes))
 
 
 async def test_ends_at_several_processes_count_together(processes):
@@ -78,7 +78,7 @@
 
 async def test_each_probe_makes_the_hold_longer_and_the_last_ends_it(processes, short_holds):
     await hold(processes)
-    fingerprint = make_subject().fingerprint
+    fingerprint = make_identity().fingerprint
     holds = []
     for number in range(holding.MAX_PROBES):
         suspect = processes[0].table.find(fingerprint)
@@ -126,18 +126,18 @@
     await probe.admit()
     send(probe, not_run=True)
     probe.close()
-    fingerprint = make_subject().fingerprint
+    fingerprint = make_identity().fingerprint
     await eventually(lambda: processes[1].table.find(fingerprint).record.probes == 0)
 
 
 async def test_a_process_tries_one_suspect_at_a_time(processes, short_holds):
     """Guards against two probes at once: the request that causes the crashes could crash a back end
     that runs the probe of a healthy request, and so count as another crash against that one."""
-    subjects = [make_subject(body=body) for body in (b"cause", b"other")]
-    for subject in subjects:
-        await hold(processes, subject)
+    identities = [make_identity(body=body) for body in (b"cause", b"other")]
+    for identity in identities:
+        await hold(processes, identity)
     await asyncio.sleep(0.06)
-    first, second = (processes[0].tracker(subject) for subject in subjects)
+    first, second = (processes[0].tracker(identity) for identity in identities)
     await first.wait_admitted()
     waiting = asyncio.create_task(second.wait_admitted())
     with first.sending() as sent:
@@ -148,15 +148,15 @@
         await waiting
     with second.sending():
         second.progressed()
-        assert second.is_admitted() and processes[0].table.find(subjects[1].fingerprint) is None
+        assert second.is_admitted() and processes[0].table.find(identities[1].fingerprint) is None
 
 
 async def test_a_probe_that_is_given_up_lets_the_next_one_in(processes, short_holds):
-    subjects = [make_subject(body=body) for body in (b"cause", b"other")]
-    for subject in subjects:
-        await hold(processes, subject)
+    identities = [make_identity(body=body) for body in (b"cause", b"other")]
+    for identity in identities:
+        await hold(processes, identity)
     await asyncio.sleep(0.06)
-    first, second = (processes[0].tracker(subject) for subject in subjects)
+    first, second = (processes[0].tracker(identity) for identity in identities)
     await first.wait_admitted()
     first.abandon()
     async with asyncio.timeout(5):
@@ -216,12 +216,12 @@
 
 async def test_others_are_not_touched(processes):
     await hold(processes)
-    for other in (make_subject(tenant="u"), make_subject(body=b"ydob"), make_subject(body=b"")):
+    for other in (make_identity(tenant="u"), make_identity(body=b"ydob"), make_identity(body=b"")):
         await processes[0].tracker(other).admit()
 
 
 async def test_an_empty_body_is_told_by_its_target(processes):
-    empty = make_subject(body=b"")
+    empty = make_identity(body=b"")
     await hold(processes, empty)
     with pytest.raises(RequestHeld):
         await processes[0].tracker(empty).admit()
