--- a/src/crankseam/jobs/item_run.py
+++ b/src/crankseam/jobs/item_run.py
@@ -134,7 +134,7 @@
         self._places = RoutedPlaces(parts.dispatcher, parts.splitter)
         self._client = parts.client
         self._guard = parts.guard
-        self._tracker = parts.guard.begin(_request_identity(job, item), DEFAULT_ITEM_CRASH_LIMIT)
+        self._tracker = parts.guard.track(_request_identity(job, item), DEFAULT_ITEM_CRASH_LIMIT)
         self.kept = kept
         self._is_expected_long = is_long
         self._created_at = time.monotonic()
@@ -163,7 +163,7 @@
             if reserved is not None and not self._tracker.is_admitted():
                 self._dispatcher.release(reserved, self.item.id)
                 reserved = None
-            await self._tracker.wait_admitted()
+            await self._tracker.wait_until_admitted()
             async with self._places.hold(
                 partial(self._find_route, self.job), self._need(), self._only_version, reserved
             ) as place:
@@ -320,7 +320,7 @@
             self.kept.clear()
             raise AttemptBroken("made by two versions")
         self.kept.append(event)
-        self._tracker.progressed()
+        self._tracker.on_progress()
 
     def _migrate_if_slow(self, back_end: BackEnd) -> None:
         now = time.monotonic()
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -120,7 +120,7 @@
         job_attempts: int,
     ) -> str | None:
         while True:
-            await run.tracker.wait_admitted()
+            await run.tracker.wait_until_admitted()
             need = PlaceNeed(rank, avoided=run.avoided, slots_share=SCORING_SLOTS_SHARE)
             async with self._places.hold(partial(self._find_route, request), need) as place:
                 score = await run.attempt(place.route, place.back_end)
@@ -144,7 +144,7 @@
     ) -> None:
         self._client = client
         self._guard = guard
-        self.tracker = guard.begin(_request_identity(request), DEFAULT_CRASH_LIMIT)
+        self.tracker = guard.track(_request_identity(request), DEFAULT_CRASH_LIMIT)
         self._job = job
         self._item = item
         self._request = request
--- a/src/crankseam/jobs/send_outcome.py
+++ b/src/crankseam/jobs/send_outcome.py
@@ -30,7 +30,7 @@
         guard.rejected(back_end, refusal)
         raise
     except AttemptBroken as failure:
-        send.ended_id = await guard.ended_id(back_end, failure)
+        send.crashed_id = await guard.crashed_id(back_end, failure)
         raise
     send.was_answered = True
     return answer
--- a/src/crankseam/quarantine/crash_guard.py
+++ b/src/crankseam/quarantine/crash_guard.py
@@ -26,17 +26,17 @@
         self._quarantine = quarantine
         self._ended_back_ends = ended_back_ends
 
-    def begin(self, identity: RequestIdentity, crash_limit: int) -> RequestTracker:
+    def track(self, identity: RequestIdentity, crash_limit: int) -> RequestTracker:
         """Returns the tracker of a request that is about to be sent."""
         return RequestTracker(self._quarantine, identity, crash_limit)
 
-    async def ended_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
+    async def crashed_id(self, back_end: BackEnd, failure: AttemptBroken) -> str:
         """Returns the id of a back end that crashed under an attempt; empty if it did not crash."""
         if not failure.lost_connection or not await self._ended_back_ends.has_ended(back_end):
             return ""
         return back_end.record.id
 
-    def rejected(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
+    def on_rejected(self, back_end: BackEnd, refusal: AttemptNotRun) -> None:
         """Handles a rejected request, which may show that another back end runs at the address."""
         if refusal.wrong_instance:
             self._ended_back_ends.record_replacement(back_end)
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -77,7 +77,7 @@
         return holding.hold_duration_s(self.probes)
 
 
-def name_of_end(back_end: str) -> str:
+def crash_id(back_end: str) -> str:
     """Returns an id for one crash of a back end that restarts under the same name."""
     return f"{back_end}@{time.time():.3f}"
 
--- a/src/crankseam/quarantine/request_tracker.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -32,7 +32,7 @@
     was_not_run: bool = False
     was_answered: bool = False
     """The back end answered completely, and the answer is not a failure."""
-    ended_id: str = ""
+    crashed_id: str = ""
     """Id of the back end if it crashed under the request; otherwise empty."""
 
 
@@ -98,7 +98,7 @@
         """Whether an item or a scoring request is not held, or may be sent as a probe."""
         return self._is_probe or self._held_suspect() is None
 
-    async def wait_admitted(self) -> None:
+    async def wait_until_admitted(self) -> None:
         """Waits until an item or a scoring request is released or this process claims its probe."""
         suspect = self._held_suspect()
         if suspect is None or self._is_probe:
@@ -156,16 +156,16 @@
     def _apply_outcome(self, send: Send) -> None:
         if send.was_not_run:
             self._may_have_run = False
-        elif send.ended_id:
+        elif send.crashed_id:
             self._finish_probe()
-            self.ended.append(send.ended_id)
-            self._unreported.append(send.ended_id)
+            self.ended.append(send.crashed_id)
+            self._unreported.append(send.crashed_id)
         elif send.was_answered:
-            self.progressed()
+            self.on_progress()
             if self._quarantine.find(self.identity) is not None:
                 self._quarantine.release_answered(self.identity)
 
-    def progressed(self) -> None:
+    def on_progress(self) -> None:
         """Clears the crashes of this request: a back end made progress, so the request did not cause
         them. If the request is a probe, it is released."""
         if self.ended or self._is_probe:
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -31,7 +31,7 @@
 )
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import DeadlineExceeded, OutcomeUnknown, Unavailable
-from crankseam.quarantine.model import RequestIdentity, name_of_end
+from crankseam.quarantine.model import RequestIdentity, crash_id
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.request_tracker import RequestTracker, Send
 from crankseam.requests import retry_after
@@ -175,7 +175,7 @@
         except (aiohttp.ClientError, ConnectionError) as error:
             self._router.fail_connection(target)
             if await refuses_connections(back_end.address):
-                send.ended_id = name_of_end(back_end.name)
+                send.crashed_id = crash_id(back_end.name)
             raise OutcomeUnknown(f"connection broke: {type(error).__name__}", OUTCOME_UNKNOWN)
         finally:
             self._router.finish(target)
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -25,7 +25,7 @@
 from crankseam.controllers.limit_shares import LimitShareController
 from crankseam.decisions import Candidate, Decision, DecisionLog
 from crankseam.peers.messages import CompletionOutcome
-from crankseam.quarantine.model import RequestIdentity, name_of_end
+from crankseam.quarantine.model import RequestIdentity, crash_id
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.request_tracker import RequestTracker, Send
 from crankseam.rollout.executors import StreamExecutors
@@ -209,7 +209,7 @@
     ) -> SampleResult:
         backoff = Backoff(RETRY_BASE_DELAY_S, RETRY_MAX_JITTER_S)
         while True:
-            await tracker.wait_admitted()
+            await tracker.wait_until_admitted()
             generation_target = target()
             decision = await self._attempt_within_limit(job, generation_target, tracker)
             if decision is None:
@@ -251,7 +251,7 @@
         with tracker.sending() as send:
             await self._attempt(job, sampler, generation_target, send)
         if len(job.tokens) > tokens_before:
-            tracker.progressed()
+            tracker.on_progress()
         tracker.report_if_held()
         return decision
 
@@ -312,7 +312,7 @@
             self._router.fail_connection(target)
         send.was_not_run = outcome.refused
         if outcome.broke and not outcome.tokens and await refuses_connections(sampler.address):
-            send.ended_id = name_of_end(sampler.name)
+            send.crashed_id = crash_id(sampler.name)
         if outcome.broke:
             log.info("sample broke off", extra={"sampler": sampler.name, "error": outcome.broke})
         if not outcome.refused:
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -95,7 +95,7 @@
         """
         service = self._splitter.pick(route)
         give_up_at = retry.give_up_time(request, route)
-        tracker = self._guard.begin(
+        tracker = self._guard.track(
             request_identity(request, route), default_crash_limit(route.kind)
         )
         await tracker.admit()
@@ -233,14 +233,14 @@
             send.was_not_run = True
             raise
         except AttemptBroken as failure:
-            send.ended_id = await self._guard.ended_id(back_end, failure)
+            send.crashed_id = await self._guard.crashed_id(back_end, failure)
             raise
         send.was_answered = isinstance(answer, Answer) and not retry.is_server_error(answer)
         return answer
 
     def _handle_rejection(self, back_end: BackEnd, rejection: AttemptNotRun) -> None:
         back_end.record_rejection()
-        self._guard.rejected(back_end, rejection)
+        self._guard.on_rejected(back_end, rejection)
         if rejection.wrong_instance:
             back_end.record_failure()
 
@@ -274,7 +274,7 @@
                         async for chunk in chunks:
                             yield chunk
                     except AttemptBroken as failure:
-                        send.ended_id = await self._guard.ended_id(back_end, failure)
+                        send.crashed_id = await self._guard.crashed_id(back_end, failure)
                         raise
                 send.was_answered = not retry.is_server_error(answer)
         finally:
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -84,4 +84,4 @@
 def send(tracker, ended="", answered=False, not_run=False):
     """Sends the tracked request once, with the given outcome."""
     with tracker.sending() as sent:
-        sent.ended_id, sent.was_answered, sent.was_not_run = ended, answered, not_run
+        sent.crashed_id, sent.was_answered, sent.was_not_run = ended, answered, not_run
--- a/tests/quarantine/test_quarantine_machine.py
+++ b/tests/quarantine/test_quarantine_machine.py
@@ -75,11 +75,11 @@
                 ended = self._new_crash_id()
                 self.crash_counts[identity.fingerprint] += 1
                 with tracker.sending() as sent:
-                    sent.ended_id = ended
+                    sent.crashed_id = ended
                 for other in neighbour_trackers:
                     if other.may_send():
                         with other.sending() as sent:
-                            sent.ended_id = ended
+                            sent.crashed_id = ended
         tracker.close()
         for other in neighbour_trackers:
             other.close()
@@ -116,7 +116,7 @@
                 await tracker.admit()
                 if tracker.may_send():
                     with tracker.sending() as sent:
-                        sent.ended_id = self._new_crash_id()
+                        sent.crashed_id = self._new_crash_id()
             tracker.close()
             await asyncio.sleep(0.02)
 
--- a/tests/quarantine/test_request_tracker.py
+++ b/tests/quarantine/test_request_tracker.py
@@ -70,7 +70,7 @@
     winner = trackers[results.index(None)]
     with winner.sending() as sent:
         assert not winner.may_send(), "a probe is sent to one back end at a time"
-        sent.ended_id = "b3"
+        sent.crashed_id = "b3"
     assert not winner.may_send()
     winner.close()
     await wait_known_everywhere(processes, crashes=3)
@@ -138,16 +138,16 @@
         await hold(processes, identity)
     await asyncio.sleep(0.06)
     first, second = (processes[0].tracker(identity) for identity in identities)
-    await first.wait_admitted()
-    waiting = asyncio.create_task(second.wait_admitted())
+    await first.wait_until_admitted()
+    waiting = asyncio.create_task(second.wait_until_admitted())
     with first.sending() as sent:
         await asyncio.sleep(0.2)
         assert not waiting.done()
-        sent.ended_id = "b3"
+        sent.crashed_id = "b3"
     async with asyncio.timeout(5):
         await waiting
     with second.sending():
-        second.progressed()
+        second.on_progress()
         assert second.is_admitted() and processes[0].table.find(identities[1].fingerprint) is None
 
 
@@ -157,10 +157,10 @@
         await hold(processes, identity)
     await asyncio.sleep(0.06)
     first, second = (processes[0].tracker(identity) for identity in identities)
-    await first.wait_admitted()
+    await first.wait_until_admitted()
     first.abandon()
     async with asyncio.timeout(5):
-        await second.wait_admitted()
+        await second.wait_until_admitted()
 
 
 async def test_without_the_store_nothing_is_tried_again(processes, short_holds):
@@ -194,7 +194,7 @@
     item = processes[0].tracker(crash_limit=3)
     send(item, ended="b1")
     send(item, ended="b2")
-    item.progressed()
+    item.on_progress()
     send(item, ended="b3")
     item.report_if_held()
     assert item.may_send() and not len(processes[0].table)
@@ -208,7 +208,7 @@
         item.report_if_held()
     assert not item.is_admitted()
     async with asyncio.timeout(5):
-        await item.wait_admitted()
+        await item.wait_until_admitted()
     assert item.is_admitted() and item.may_send()
     send(item, answered=True)
     await eventually(lambda: not any(len(process.table) for process in processes), "released")
