--- a/src/crankseam/controllers/suspects.py
+++ b/src/crankseam/controllers/suspects.py
@@ -68,7 +68,7 @@
         except KeyValueError as error:
             log.info("suspects not read", extra={"error": type(error).__name__})
             return READ_RETRY_DELAY_S
-        self.quarantine.take_all([as_entry(entry) for entry in entries])
+        self.quarantine.apply_snapshot([as_entry(entry) for entry in entries])
         return READ_INTERVAL_S * random.uniform(0.9, 1.1)
 
     async def _notify_peers(self, encoded: bytes) -> None:
@@ -96,5 +96,5 @@
 
     async def _on_suspects(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, TellSuspects)
-        await self._parts.publisher.serve(message.news)
+        await self._parts.publisher.handle_message(message.news)
         return Done()
--- a/src/crankseam/quarantine/publisher.py
+++ b/src/crankseam/quarantine/publisher.py
@@ -175,7 +175,7 @@
         self._sent_records |= news
         await self._broadcast(msgspec.msgpack.encode(SuspectNews(news)))
 
-    async def serve(self, raw: bytes) -> bytes:
+    async def handle_message(self, raw: bytes) -> bytes:
         """Applies an encoded `SuspectNews` from another process; the answer is empty."""
         news = msgspec.msgpack.decode(raw, type=SuspectNews)
         for fingerprint, record in news.records.items():
--- a/src/crankseam/quarantine/quarantine.py
+++ b/src/crankseam/quarantine/quarantine.py
@@ -205,7 +205,7 @@
             return
         self._table.apply_stored(fingerprint, record, entry.revision)
 
-    def take_all(self, entries: list[Entry]) -> None:
+    def apply_snapshot(self, entries: list[Entry]) -> None:
         """Applies a complete reading of the suspects in the store.
 
         Suspects that are no longer stored are removed; suspects that were never stored are kept.
--- a/tests/quarantine/factories.py
+++ b/tests/quarantine/factories.py
@@ -58,7 +58,7 @@
     async def _broadcast(self, raw):
         self.broadcast_count += 1
         for peer in self.peers:
-            await peer.publisher.serve(raw)
+            await peer.publisher.handle_message(raw)
 
     def tracker(self, identity=None, crash_limit=2):
         return RequestTracker(self.quarantine, identity or make_identity(), crash_limit)
