--- a/src/crankseam/jobs/send_outcome.py
+++ b/src/crankseam/jobs/send_outcome.py
@@ -27,7 +27,7 @@
         answer = await attempt
     except AttemptNotRun as refusal:
         send.was_not_run = True
-        guard.rejected(back_end, refusal)
+        guard.on_rejected(back_end, refusal)
         raise
     except AttemptBroken as failure:
         send.crashed_id = await guard.crashed_id(back_end, failure)
--- a/src/crankseam/quarantine/request_tracker.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -166,8 +166,8 @@
                 self._quarantine.release_answered(self.identity)
 
     def on_progress(self) -> None:
-        """Clears the crashes of this request: a back end made progress, so the request did not cause
-        them. If the request is a probe, it is released."""
+        """Clears the crashes of this request: a back end made progress, so the request did not
+        cause them. If the request is a probe, it is released."""
         if self.ended or self._is_probe:
             self.ended.clear()
             self._unreported.clear()
@@ -192,7 +192,7 @@
             self.report_crashes()
 
     def abandon(self) -> None:
-        """Stops tracking the request; a probe that no back end has run is returned for others to claim."""
+        """Stops tracking the request; returns a probe that no back end has run, for others to claim."""
         if self._is_probe and not self._may_have_run:
             self._quarantine.return_probe(self.identity)
         self._finish_probe()
