--- a/src/crankseam/quarantine/request_tracker.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -192,7 +192,7 @@
             self.report_crashes()
 
     def abandon(self) -> None:
-        """Stops tracking the request; returns a probe that no back end has run, for others to claim."""
+        """Stops tracking the request; returns a probe that no back end has run."""
         if self._is_probe and not self._may_have_run:
             self._quarantine.return_probe(self.identity)
         self._finish_probe()
