--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class OwnedBallot:
+class ReservedBallot:
     """A ballot that all replicas promised to this proposer in a fast round, valid for one write.
 
     A second write would put two values at one ballot, and a reader could not tell which of them a
@@ -117,7 +117,7 @@
 
     # --- operations on records
 
-    async def create(self, record: RecordKey, value: bytes) -> OwnedBallot | None:
+    async def create(self, record: RecordKey, value: bytes) -> ReservedBallot | None:
         """Try to create a record in one round trip.
 
         Returns:
@@ -142,20 +142,20 @@
             with contextlib.suppress(_EpochChanged):
                 self._raise_if_epoch_changed(replica_set, answers)
             return None
-        return OwnedBallot(replica_set.epoch, Ballot(1, self._identity), value)
+        return ReservedBallot(replica_set.epoch, Ballot(1, self._identity), value)
 
-    async def overwrite(self, record: RecordKey, owned: OwnedBallot, value: bytes) -> bool:
+    async def overwrite(self, record: RecordKey, reserved: ReservedBallot, value: bytes) -> bool:
         """Write with a ballot that is already promised, in one round trip.
 
         Returns False if another proposer has a higher ballot, the slot moved, the ballot was used
         before or no majority answered; the caller continues with `change`.
         """
         replica_set = self._require_set(record)
-        if owned.is_used or replica_set.epoch != owned.epoch:
+        if reserved.is_used or replica_set.epoch != reserved.epoch:
             return False  # a promise is valid only in the epoch in which it was given
-        owned.is_used = True
+        reserved.is_used = True
         try:
-            return await self._accept(record, replica_set, owned.ballot, value)
+            return await self._accept(record, replica_set, reserved.ballot, value)
         except (_EpochChanged, NoQuorum):
             return False  # the caller falls back to `change`, which returns the agreed value
 
--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -24,7 +24,7 @@
     RecordExpired,
     Unavailable,
 )
-from crankseam.records.proposer import OwnedBallot, RecordKey
+from crankseam.records.proposer import RecordKey, ReservedBallot
 from crankseam.requests import retry_after
 from crankseam.requests.claim_rules import (
     apply_claim,
@@ -64,12 +64,12 @@
     """A claim of this node.
 
     Attributes:
-        owned: the ballot for the next write; None unless the fast round created the record.
+        reserved_ballot: the ballot for the next write; None unless the fast round created the record.
     """
 
     record_key: RecordKey
     record: RequestRecord
-    owned: OwnedBallot | None
+    reserved_ballot: ReservedBallot | None
 
 
 class RequestClaims:
@@ -113,9 +113,9 @@
         record_key = self._locate(context)
         record = self._new_record(context, RequestState.CLAIMED)
         encoded = encode_record(record)
-        owned = await self._agent.proposer.create(record_key, encoded)
-        if owned is not None:
-            return HeldClaim(record_key, record, owned)
+        reserved = await self._agent.proposer.create(record_key, encoded)
+        if reserved is not None:
+            return HeldClaim(record_key, record, reserved)
         value = await self._agent.proposer.change(
             record_key, lambda current: apply_claim(current, record)
         )
@@ -142,8 +142,10 @@
     async def _try_commit(self, claim: HeldClaim, encoded: bytes) -> bool:
         try:
             async with asyncio.timeout(COMMIT_TIMEOUT_S):
-                if claim.owned is not None:
-                    if await self._agent.proposer.overwrite(claim.record_key, claim.owned, encoded):
+                if claim.reserved_ballot is not None:
+                    if await self._agent.proposer.overwrite(
+                        claim.record_key, claim.reserved_ballot, encoded
+                    ):
                         return True
                 return await self._commit_with_retries(claim, encoded)
         except TimeoutError:
--- a/tests/records/test_proposer.py
+++ b/tests/records/test_proposer.py
@@ -19,10 +19,10 @@
 
 async def test_fast_round_needs_one_round_trip_and_all_replicas(cluster):
     client = cluster.client("p@1", cluster.found(MEMBERS))
-    owned = await client.proposer.create(RECORD, b"one")
-    assert owned is not None
+    reserved = await client.proposer.create(RECORD, b"one")
+    assert reserved is not None
     assert [store.operations for store in cluster.stores.values()] == [1, 1, 1]
-    assert await client.proposer.overwrite(RECORD, owned, b"two")
+    assert await client.proposer.overwrite(RECORD, reserved, b"two")
     assert await client.proposer.read(RECORD) == b"two"
 
 
@@ -43,28 +43,28 @@
 async def test_overtaken_owner_is_refused(cluster):
     replica_set = cluster.found(MEMBERS)
     first, second = cluster.client("p@1", replica_set), cluster.client("q@1", replica_set)
-    owned = await first.proposer.create(RECORD, b"one")
+    reserved = await first.proposer.create(RECORD, b"one")
     await second.proposer.change(RECORD, lambda value: b"changed")
-    assert not await first.proposer.overwrite(RECORD, owned, b"two")
+    assert not await first.proposer.overwrite(RECORD, reserved, b"two")
     assert await second.proposer.read(RECORD) == b"changed"
 
 
 async def test_overwrite_without_a_majority_is_no_error_but_not_done(cluster):
     """NoQuorum used to escape from `overwrite` as status 500 (experiments/faults.toml, seed 3)."""
     client = cluster.client("p@1", cluster.found(MEMBERS))
-    owned = await client.proposer.create(RECORD, b"one")
+    reserved = await client.proposer.create(RECORD, b"one")
     cluster.lose_request = lambda caller, target, message: target != "a@1"
-    assert not await client.proposer.overwrite(RECORD, owned, b"two")
+    assert not await client.proposer.overwrite(RECORD, reserved, b"two")
 
 
 async def test_promises_do_not_outlive_their_epoch(cluster):
     replica_set = cluster.found(MEMBERS)
     first, second = cluster.client("p@1", replica_set), cluster.client("q@1", replica_set)
-    owned = await first.proposer.create(RECORD, b"one")
+    reserved = await first.proposer.create(RECORD, b"one")
     cluster.add("d@1")
     moved = await second.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
     first.slots.learn(moved)
-    assert not await first.proposer.overwrite(RECORD, owned, b"two")
+    assert not await first.proposer.overwrite(RECORD, reserved, b"two")
 
 
 async def test_no_majority_is_told_as_such(cluster):
--- a/tests/records/test_record_machine.py
+++ b/tests/records/test_record_machine.py
@@ -93,13 +93,13 @@
         self.entries += 1
         entry = self.entries
         try:
-            owned = await client.proposer.create(record, msgspec.msgpack.encode([entry]))
-            if owned is None:
+            reserved = await client.proposer.create(record, msgspec.msgpack.encode([entry]))
+            if reserved is None:
                 return
             self.agreed[record.key].append(entry)
             self.entries += 1
             second = [entry, self.entries]
-            if await client.proposer.overwrite(record, owned, msgspec.msgpack.encode(second)):
+            if await client.proposer.overwrite(record, reserved, msgspec.msgpack.encode(second)):
                 self.agreed[record.key].append(second[1])
         except RecordError:
             return
