--- a/src/crankseam/cluster/agent.py
+++ b/src/crankseam/cluster/agent.py
@@ -196,7 +196,7 @@
         The replica store acts only on a founded set, which has no state to carry over.
         """
         self.digest.learn_replica_set(replica_set)
-        self.replicas.adopt(replica_set)
+        self.replicas.start_founded_epoch(replica_set)
 
     def may_send_work(self) -> bool:
         """Whether this node may send new work to a back end now.
--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -110,7 +110,7 @@
         """Pass replica sets received with the digest to the replica store, which starts founded
         ones."""
         for replica_set in self._digest.slots.all():
-            self._parts.replicas.adopt(replica_set)
+            self._parts.replicas.start_founded_epoch(replica_set)
 
     async def _sleep_until_next(self, started: float) -> None:
         """Wait until the next heartbeat is due or a nudge wakes this node."""
--- a/src/crankseam/controllers/replica_placement.py
+++ b/src/crankseam/controllers/replica_placement.py
@@ -154,16 +154,16 @@
         newest = self._agent.digest.slots.get(replica_set.slot)
         if newest is None:
             return
-        self._agent.replicas.end_epoch(newest)
+        self._agent.replicas.seal_for_newer_set(newest)
         log.info("slot overtaken", extra={"slot": newest.slot, "epoch": newest.epoch})
 
     def _drop_if_not_member(self, replica_set: ReplicaSet) -> None:
         if self._agent.identity not in replica_set.members:
-            self._agent.replicas.drop(replica_set.slot)
+            self._agent.replicas.drop_sealed_slot(replica_set.slot)
 
     async def _finish_interrupted_moves(self) -> None:
         """Complete moves whose initiator may have died; drop slots that moved to other nodes."""
-        sealed = self._agent.replicas.sealed()
+        sealed = self._agent.replicas.sealed_slots()
         sealed_slots = {old.slot for old, _agreed in sealed}
         self._sealed_since = {s: at for s, at in self._sealed_since.items() if s in sealed_slots}
         for old, agreed in sealed:
--- a/src/crankseam/controllers/retention.py
+++ b/src/crankseam/controllers/retention.py
@@ -37,7 +37,7 @@
     def sweep(self) -> None:
         """Drop expired records and stale digest entries, and save the addresses of peers."""
         retention_ms = round(self._agent.settings.timing.record_retention * 1000)
-        self._agent.replicas.forget_before(clocks.wall_ms() - retention_ms)
+        self._agent.replicas.drop_before(clocks.wall_ms() - retention_ms)
         target_names = {target.name for target in all_targets(self._agent.lease.snapshot)}
         self._agent.digest.purge(target_names, REPORT_RETENTION_S)
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
--- a/src/crankseam/records/replica.py
+++ b/src/crankseam/records/replica.py
@@ -96,7 +96,7 @@
             Install: self.on_install,
         }
 
-    def adopt(self, replica_set: ReplicaSet) -> None:
+    def start_founded_epoch(self, replica_set: ReplicaSet) -> None:
         """Start the epoch of a founded replica set, which takes over no state from an earlier set.
 
         Does nothing for other sets and for epochs that are not newer than those seen here.
@@ -219,7 +219,7 @@
         self._on_replica_set(message.next_set)
         return self._state_page(slot, message.after)
 
-    def end_epoch(self, newer: ReplicaSet) -> None:
+    def seal_for_newer_set(self, newer: ReplicaSet) -> None:
         """Seal a slot whose agreed move to `newer` did not reach this replica."""
         slot = self.slots.get(newer.slot)
         if slot is None or slot.sealed_by is not None:
@@ -283,7 +283,7 @@
                 record.dated, record.accepted, record.accepted, record.value
             )
 
-    def sealed(self) -> list[tuple[ReplicaSet, ReplicaSet]]:
+    def sealed_slots(self) -> list[tuple[ReplicaSet, ReplicaSet]]:
         """Return the old and the next set of each slot sealed here and not yet installed again."""
         return [
             (slot.replica_set, slot.sealed_by)
@@ -291,13 +291,13 @@
             if slot.sealed_by is not None
         ]
 
-    def drop(self, slot_number: int) -> None:
+    def drop_sealed_slot(self, slot_number: int) -> None:
         """Drop a sealed slot; the caller has made sure that its next set serves."""
         slot = self.slots.get(slot_number)
         if slot is not None and slot.sealed_by is not None:
             del self.slots[slot_number]
 
-    def forget_before(self, date: int) -> int:
+    def drop_before(self, date: int) -> int:
         """Drop records dated before `date` (milliseconds); return the number dropped."""
         dropped = 0
         for slot in self.slots.values():
--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -64,7 +64,7 @@
     """A claim of this node.
 
     Attributes:
-        reserved_ballot: the ballot for the next write; None unless the fast round created the record.
+        reserved_ballot: for the next write; None unless the fast round created the record.
     """
 
     record_key: RecordKey
--- a/tests/records/test_proposer.py
+++ b/tests/records/test_proposer.py
@@ -78,7 +78,7 @@
     client = cluster.client("p@1", cluster.found(MEMBERS))
     await client.proposer.change(RECORD, lambda value: b"x")
     for store in cluster.stores.values():
-        store.forget_before(2000)
+        store.drop_before(2000)
     with pytest.raises(RecordExpired):
         await client.proposer.change(RECORD, lambda value: b"y")
     assert await client.proposer.change(RecordKey(0, "new", 2001), lambda value: b"z") == b"z"
@@ -113,7 +113,7 @@
     with pytest.raises(NoQuorum):
         await client.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
     cluster.lose_request = lambda caller, target, message: False
-    [(old, agreed)] = cluster.stores["b@1"].sealed()
+    [(old, agreed)] = cluster.stores["b@1"].sealed_slots()
     other = cluster.client("q@1", agreed)
     await other.reconfigurer.finish(old, agreed)
     assert await other.proposer.read(RECORD) == b"one"
@@ -125,8 +125,8 @@
     cluster.add("d@1")
     client = cluster.client("p@1", replica_set)
     await client.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
-    cluster.stores["c@1"].drop(0)
-    cluster.stores["c@1"].adopt(replica_set)
+    cluster.stores["c@1"].drop_sealed_slot(0)
+    cluster.stores["c@1"].start_founded_epoch(replica_set)
     assert 0 not in cluster.stores["c@1"].slots
 
 
@@ -176,7 +176,7 @@
     cluster.add("d@1")
     founded_again = ReplicaSet(0, 1001, ["d@1"], floor=5000, founded=True)
     for store in cluster.stores.values():
-        store.adopt(founded_again)
+        store.start_founded_epoch(founded_again)
     with pytest.raises(NoQuorum):
         await client.proposer.change(RECORD, lambda value: b"two")
     later = cluster.client("q@1", founded_again)
--- a/tests/records/test_record_machine.py
+++ b/tests/records/test_record_machine.py
@@ -208,7 +208,7 @@
     def finish_moves(self):
         async def operation():
             for store in list(self.cluster.stores.values()):
-                for old, agreed in store.sealed():
+                for old, agreed in store.sealed_slots():
                     client = self.random.choice(self.clients)
                     try:
                         await client.reconfigurer.finish(old, agreed)
--- a/tests/records/test_two_movers.py
+++ b/tests/records/test_two_movers.py
@@ -97,10 +97,10 @@
     await mover.proposer.change(RECORD, lambda current: current + b",w")
 
     cluster.lose_request = lambda *_args: False
-    cluster.stores["b@1"].end_epoch(moved)
-    [(old, agreed)] = cluster.stores["b@1"].sealed()
+    cluster.stores["b@1"].seal_for_newer_set(moved)
+    [(old, agreed)] = cluster.stores["b@1"].sealed_slots()
     await cluster.client("b@1", moved).reconfigurer.finish(old, agreed)
-    assert cluster.stores["b@1"].sealed() == []
+    assert cluster.stores["b@1"].sealed_slots() == []
     cluster.lose_request = lambda _caller, target, _message: target == "d@1"
     assert await cluster.client("r@1", moved).proposer.read(RECORD) == b"v,w"
 
--- a/tests/support/memory_cluster.py
+++ b/tests/support/memory_cluster.py
@@ -36,7 +36,7 @@
     def found(self, members: list[str], floor: int = 0) -> ReplicaSet:
         replica_set = ReplicaSet(SLOT, 1, sorted(members), floor, founded=True)
         for store in self.stores.values():
-            store.adopt(replica_set)
+            store.start_founded_epoch(replica_set)
         return replica_set
 
     async def deliver(self, caller: str, target: str, message: Message) -> AnyMessage:
