--- a/src/crankseam/cluster/digest.py
+++ b/src/crankseam/cluster/digest.py
@@ -15,7 +15,7 @@
 from typing import Any, Generic, TypeVar
 
 from crankseam.peers.messages import BackEndReport, Entries, Member, ReplicaSet
-from crankseam.records.slots import SlotTable, ranked
+from crankseam.records.slots import SlotTable, sort_by_rank
 
 T = TypeVar("T")
 
@@ -154,7 +154,7 @@
 
     def learn_replica_set(self, replica_set: ReplicaSet) -> bool:
         """Store a slot's replica set if it is newer; return whether it was."""
-        if not self.slots.learn(replica_set):
+        if not self.slots.update(replica_set):
             return False
         self._sets.pop(replica_set.slot, None)
         self._sets[replica_set.slot] = _Versioned(replica_set, self._next_version(), self._clock())
@@ -259,7 +259,7 @@
         self._refresh_alive()
         key = (purpose, zone)
         if key not in self._ranked_cache:
-            self._ranked_cache[key] = ranked(f"{purpose}/{zone}", self.alive_in_zone(zone))
+            self._ranked_cache[key] = sort_by_rank(f"{purpose}/{zone}", self.alive_in_zone(zone))
         return self._ranked_cache[key]
 
     def zones(self) -> dict[str, str]:
--- a/src/crankseam/cluster/zone_order.py
+++ b/src/crankseam/cluster/zone_order.py
@@ -22,7 +22,7 @@
 
 from crankseam.cluster.digest import DigestTable
 from crankseam.peers.messages import Member
-from crankseam.records.slots import ranked
+from crankseam.records.slots import sort_by_rank
 from crankseam.settings import NodeSettings
 
 RELAYS_PER_ZONE = 2
@@ -122,5 +122,5 @@
         """
         members = self._digest.alive_in_region(self._settings.region)
         usable = [member for member in members if not self._failed_recently(member.name)]
-        ranked_members = ranked(REGION_PURPOSE, usable)
+        ranked_members = sort_by_rank(REGION_PURPOSE, usable)
         return bool(ranked_members) and ranked_members[0].name == self._settings.name
--- a/src/crankseam/controllers/back_end_watch.py
+++ b/src/crankseam/controllers/back_end_watch.py
@@ -31,7 +31,7 @@
 from crankseam.config.kinds import BackEnd
 from crankseam.config.snapshot import Snapshot
 from crankseam.peers.messages import BackEndReport
-from crankseam.records.slots import ranked
+from crankseam.records.slots import sort_by_rank
 
 WATCHERS_PER_BACK_END = 2
 """If one watcher dies, the other has polled the back end within the last watch interval."""
@@ -189,7 +189,7 @@
         candidates = digest.alive_in_zone(target.back_end.zone)
         if not candidates:
             candidates = digest.alive_in_region(target.region)
-        chosen = ranked(f"watch/{target.name}", candidates)[:WATCHERS_PER_BACK_END]
+        chosen = sort_by_rank(f"watch/{target.name}", candidates)[:WATCHERS_PER_BACK_END]
         return [member.name for member in chosen]
 
     async def _watch(self, target: Target) -> None:
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -39,7 +39,7 @@
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import CrankseamError
 from crankseam.peers.messages import BackEndReport
-from crankseam.records.slots import ranked
+from crankseam.records.slots import sort_by_rank
 from crankseam.routing import NOTE_PREFIX
 from crankseam.weights_cache import cache_source
 
@@ -109,7 +109,7 @@
         if policy is None or self._agent.is_leaving:
             return False
         members = self._agent.digest.alive_in_region(self._pool(policy).home_region)
-        candidates = ranked(f"weights/{policy.name}", members)[:COORDINATOR_CANDIDATES]
+        candidates = sort_by_rank(f"weights/{policy.name}", members)[:COORDINATOR_CANDIDATES]
         return any(member.name == self._agent.settings.name for member in candidates)
 
     def _policy(self) -> WeightPolicy | None:
@@ -213,7 +213,7 @@
         if not caching or failed:
             return WeightStoreClient.source(policy.store, policy.pool, version)
         same_zone = [member for member in caching if member.zone == sampler.zone]
-        chosen = ranked(f"weights-source/{sampler.name}", same_zone or caching)[0]
+        chosen = sort_by_rank(f"weights-source/{sampler.name}", same_zone or caching)[0]
         return cache_source(chosen.caller_address, policy.pool, version)
 
     async def _load_one(self, policy: WeightPolicy, sampler: BackEnd, version: int) -> None:
--- a/src/crankseam/decisions.py
+++ b/src/crankseam/decisions.py
@@ -23,7 +23,7 @@
     FetchDecision,
     StoreDecisions,
 )
-from crankseam.records.slots import ranked
+from crankseam.records.slots import sort_by_rank
 
 MAX_DECISIONS = 20_000
 """Decisions that a node keeps, its own and copies together; the oldest are dropped first."""
@@ -134,7 +134,7 @@
 
     def _copy_addresses(self, origin: str) -> list[str]:
         members = self._agent.digest.alive_in_region(self._agent.settings.region)
-        order = ranked(f"decisions/{origin}", members)
+        order = sort_by_rank(f"decisions/{origin}", members)
         own = self._agent.settings.name
         return [m.peer_address for m in order if m.name not in (origin, own)]
 
--- a/src/crankseam/records/proposer.py
+++ b/src/crankseam/records/proposer.py
@@ -285,7 +285,7 @@
         """Record newer replica sets from the answers; raise _EpochChanged if the slot moved."""
         for answer in answers.values():
             if isinstance(answer, StaleEpoch) and answer.replica_set is not None:
-                self._slots.learn(answer.replica_set)
+                self._slots.update(answer.replica_set)
         newest = self._slots.get(replica_set.slot)
         if newest is not None and newest.epoch > replica_set.epoch:
             raise _EpochChanged
--- a/src/crankseam/records/reconfigurer.py
+++ b/src/crankseam/records/reconfigurer.py
@@ -59,7 +59,7 @@
         agreed = await self._agree_next_set(current, members)
         state = await self._seal(current, agreed)
         await self._install(agreed, state)
-        self._slots.learn(agreed)
+        self._slots.update(agreed)
         log.info("slot moved", extra={"slot": agreed.slot, "epoch": agreed.epoch})
         return agreed
 
--- a/src/crankseam/records/slots.py
+++ b/src/crankseam/records/slots.py
@@ -42,7 +42,7 @@
     return xxhash.xxh64_intdigest(f"{purpose}/{name}".encode())
 
 
-def ranked(purpose: str, members: Iterable[Member]) -> list[Member]:
+def sort_by_rank(purpose: str, members: Iterable[Member]) -> list[Member]:
     """Return the members by rendezvous rank for `purpose`, the preferred one first."""
     return sorted(members, key=lambda member: rank(purpose, member.name))
 
@@ -52,7 +52,7 @@
 
     Members are chosen by rendezvous rank, in distinct zones as long as there are unused zones.
     """
-    candidates = ranked(f"{region}/{slot}", members)
+    candidates = sort_by_rank(f"{region}/{slot}", members)
     chosen: list[Member] = []
     zones: set[str] = set()
     for member in candidates:
@@ -75,7 +75,7 @@
     def __init__(self) -> None:
         self._sets: dict[int, ReplicaSet] = {}
 
-    def learn(self, replica_set: ReplicaSet) -> bool:
+    def update(self, replica_set: ReplicaSet) -> bool:
         """Store the set if its epoch is newer than the known one; return whether it was stored."""
         current = self._sets.get(replica_set.slot)
         if current is not None and current.epoch >= replica_set.epoch:
--- a/tests/records/test_proposer.py
+++ b/tests/records/test_proposer.py
@@ -63,7 +63,7 @@
     reserved = await first.proposer.create(RECORD, b"one")
     cluster.add("d@1")
     moved = await second.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
-    first.slots.learn(moved)
+    first.slots.update(moved)
     assert not await first.proposer.overwrite(RECORD, reserved, b"two")
 
 
--- a/tests/records/test_record_machine.py
+++ b/tests/records/test_record_machine.py
@@ -191,7 +191,7 @@
         async def operation():
             client = self.random.choice(self.clients)
             newest = max(self._replica_sets_held(), key=lambda s: s.epoch)
-            client.slots.learn(newest)
+            client.slots.update(newest)
             living = [f"{name}@{run}" for name, run in self.incarnations.items()]
             members = sorted(self.random.sample(living, 3))
             try:
@@ -200,7 +200,7 @@
                 return
             for other in self.clients:
                 if self.random.random() < 0.7:
-                    other.slots.learn(moved)
+                    other.slots.update(moved)
 
         self._run(operation())
 
--- a/tests/records/test_two_movers.py
+++ b/tests/records/test_two_movers.py
@@ -79,7 +79,7 @@
 
     cluster.lose_request = lambda *_args: False
     lagging = cluster.client("b@1", first_set)
-    lagging.slots.learn(moved)
+    lagging.slots.update(moved)
     with pytest.raises(RecordError):
         await lagging.reconfigurer.move(first_set, ["b@1", "f@1", "g@1"])
     held = [store.slots[0].replica_set for store in cluster.stores.values() if 0 in store.slots]
--- a/tests/support/memory_cluster.py
+++ b/tests/support/memory_cluster.py
@@ -62,7 +62,7 @@
         self._cluster = cluster
         self.name = name
         self.slots = SlotTable()
-        self.slots.learn(replica_set)
+        self.slots.update(replica_set)
         self.proposer = Proposer(name, self, self.slots, timeout=1.0)
         self.reconfigurer = Reconfigurer(self, self.proposer, self.slots)
 
