--- a/src/crankseam/clients/key_value_transactions.py
+++ b/src/crankseam/clients/key_value_transactions.py
@@ -11,7 +11,7 @@
 from crankseam.coordination.interface import Entry, Transaction, TransactionConflict
 
 
-def as_entry(key_value: KeyValue) -> Entry:
+def entry_from_key_value(key_value: KeyValue) -> Entry:
     """Convert a key of the service to an entry of the coordination interface."""
     return Entry(
         key_value.key,
@@ -38,4 +38,6 @@
         if revision is not None:
             return revision
         current = [await self._client.get(one.key) for one in transaction.conditions]
-        raise TransactionConflict({one.key: as_entry(one) for one in current if one is not None})
+        raise TransactionConflict(
+            {one.key: entry_from_key_value(one) for one in current if one is not None}
+        )
--- a/src/crankseam/clients/sampler.py
+++ b/src/crankseam/clients/sampler.py
@@ -106,12 +106,12 @@
 
     Args:
         session: HTTP session of the caller.
-        silence_timeout: seconds without data after which a completion fails.
+        read_timeout: seconds without data after which a completion fails.
     """
 
-    def __init__(self, session: aiohttp.ClientSession, silence_timeout: float) -> None:
+    def __init__(self, session: aiohttp.ClientSession, read_timeout: float) -> None:
         self._session = session
-        self._read_timeout = silence_timeout
+        self._read_timeout = read_timeout
 
     async def complete(self, address: str, request: CompletionRequest) -> AsyncIterator[TokenChunk]:
         """Yield chunks until the completion has finished; closing the generator cancels it.
--- a/src/crankseam/clients/weight_store.py
+++ b/src/crankseam/clients/weight_store.py
@@ -60,7 +60,7 @@
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_TIMEOUT_S
         )
-        url = self.source(address, pool, version)
+        url = self.version_url(address, pool, version)
         try:
             async with self._session.get(url, timeout=timeout) as answer:
                 answer.raise_for_status()
@@ -71,6 +71,6 @@
             raise WeightStoreError(type(error).__name__) from error
 
     @staticmethod
-    def source(address: str, pool: str, version: int) -> str:
+    def version_url(address: str, pool: str, version: int) -> str:
         """Return the URL of a version, for a download or for a sampler's load order."""
         return f"http://{address}/pools/{pool}/versions/{version}"
--- a/src/crankseam/controllers/suspects.py
+++ b/src/crankseam/controllers/suspects.py
@@ -16,7 +16,7 @@
 import logging
 import random
 
-from crankseam.clients.key_value_transactions import KeyValueTransactions, as_entry
+from crankseam.clients.key_value_transactions import KeyValueTransactions, entry_from_key_value
 from crankseam.cluster.agent import ClusterAgent
 from crankseam.constants import STATE_PREFIX
 from crankseam.errors import KeyValueError, PeerError
@@ -68,7 +68,7 @@
         except KeyValueError as error:
             log.info("suspects not read", extra={"error": type(error).__name__})
             return READ_RETRY_DELAY_S
-        self.quarantine.apply_snapshot([as_entry(entry) for entry in entries])
+        self.quarantine.apply_snapshot([entry_from_key_value(entry) for entry in entries])
         return READ_INTERVAL_S * random.uniform(0.9, 1.1)
 
     async def _notify_peers(self, encoded: bytes) -> None:
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -50,7 +50,7 @@
 COORDINATOR_CANDIDATES = 2
 """Number of nodes that compete for the duty of a pool. Two tolerate the death of one; more would
 only cost further calls to the key-value service."""
-SAMPLER_SILENCE_TIMEOUT_S = 5.0
+SAMPLER_READ_TIMEOUT_S = 5.0
 """Read timeout for an answer of a sampler: the longest time without data."""
 
 
@@ -69,7 +69,7 @@
         self._policy_name = policy_name
         self._decisions = decisions
         self._watch = watch
-        self._sampler = SamplerClient(session, silence_timeout=SAMPLER_SILENCE_TIMEOUT_S)
+        self._sampler = SamplerClient(session, read_timeout=SAMPLER_READ_TIMEOUT_S)
         self._store = WeightStoreClient(session)
         timing = agent.settings.timing
         self._duty = Duty(
@@ -211,7 +211,7 @@
         region = self._pool(policy).home_region
         caching = [m for m in self._agent.digest.alive_in_region(region) if m.caches_weights]
         if not caching or failed:
-            return WeightStoreClient.source(policy.store, policy.pool, version)
+            return WeightStoreClient.version_url(policy.store, policy.pool, version)
         same_zone = [member for member in caching if member.zone == sampler.zone]
         chosen = sort_by_rank(f"weights-source/{sampler.name}", same_zone or caching)[0]
         return cache_source(chosen.caller_address, policy.pool, version)
--- a/src/crankseam/node.py
+++ b/src/crankseam/node.py
@@ -41,7 +41,7 @@
 from crankseam.problems import problem_response
 from crankseam.requests.claim import ClaimFilter, RefusalFilter, RequestClaims
 from crankseam.requests.context import RequestContext, build_chain
-from crankseam.requests.forward import Forwarder, trace_first_byte
+from crankseam.requests.forward import Forwarder, dispatch_trace_config
 from crankseam.requests.home_region import HomeRegionFilter
 from crankseam.requests.identify import ConfigurationFilter, DeadlineFilter, IdentifyFilter
 from crankseam.requests.limits import AdmissionFilter, ServiceLimitFilter
@@ -100,7 +100,7 @@
     async def start(self) -> None:
         """Join the cluster and start to serve callers."""
         self._session = single_send_session(
-            trace_configs=[trace_first_byte()],
+            trace_configs=[dispatch_trace_config()],
             connector=aiohttp.TCPConnector(limit=MAX_BACK_END_CONNECTIONS),
             auto_decompress=False,
         )
@@ -360,7 +360,7 @@
         busy = (
             self.admission.running
             or self.rollout.streams
-            or self.claims.settling
+            or self.claims.pending_commits
             or self.executors.running_for_others
         )
         return not busy and not self.placement.is_needed()
--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -35,7 +35,7 @@
     problem_for,
     requires_agreement,
 )
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 from crankseam.requests.request_record import (
     RequestRecord,
     RequestState,
@@ -77,7 +77,7 @@
 
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
-        self.settling = 0
+        self.pending_commits = 0
         """Number of final states that are still being committed."""
 
     def _locate(self, context: RequestContext) -> RecordKey:
@@ -131,13 +131,13 @@
         await asyncio.wait([commit_task], timeout=COMMIT_WAIT_S)
 
     async def _commit_final(self, claim: HeldClaim, final: RequestRecord) -> None:
-        self.settling += 1
+        self.pending_commits += 1
         try:
             if not await self._try_commit(claim, encode_record(final)):
                 # A retry will read `claimed` and be told `unknown`, which is true.
                 log.info("request left as claimed", extra={"key": claim.record_key.key})
         finally:
-            self.settling -= 1
+            self.pending_commits -= 1
 
     async def _try_commit(self, claim: HeldClaim, encoded: bytes) -> bool:
         try:
@@ -189,7 +189,7 @@
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Forward the request under a claim, or answer from the existing record."""
         if not context.must_not_repeat:
             return await call_next(context)
@@ -200,7 +200,7 @@
         except RecordError as error:
             # The claim may hold without this node's knowledge. The node does not forward the
             # request; RefusalFilter tries to commit `not_run` before the caller is told so.
-            raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_S)
+            raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_UNAVAILABLE_S)
         if isinstance(claim, RequestRecord):
             return self._answer_from(claim, context)
         return await self._forward(claim, context, call_next)
@@ -215,7 +215,9 @@
         headers = {**record.headers, REPLAYED_HEADER: "true"}
         return Answer(record.status, headers, record.body)
 
-    async def _forward(self, claim: HeldClaim, context: RequestContext, call_next: Next) -> Answer:
+    async def _forward(
+        self, claim: HeldClaim, context: RequestContext, call_next: NextHandler
+    ) -> Answer:
         try:
             answer = await call_next(context)
         except Problem as problem:
@@ -264,7 +266,7 @@
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Return answers unchanged; check the outcome of each problem."""
         try:
             return await call_next(context)
--- a/src/crankseam/requests/claim_rules.py
+++ b/src/crankseam/requests/claim_rules.py
@@ -94,12 +94,12 @@
     """Return the problem that describes the record; None if the stored answer can be replayed."""
     if record.state == RequestState.CLAIMED:
         detail = "an earlier attempt was claimed and has not ended"
-        return StillRunning(detail, OUTCOME_UNKNOWN, retry_after.RECORD_S)
+        return StillRunning(detail, OUTCOME_UNKNOWN, retry_after.RECORD_UNAVAILABLE_S)
     if record.state == RequestState.UNKNOWN:
         return OutcomeUnknown("it was forwarded and its answer was lost", OUTCOME_UNKNOWN)
     if record.state == RequestState.NOT_RUN:
         detail = "this attempt was not run; try again with a new Request-Id"
-        return Unavailable(detail, OUTCOME_NOT_RUN, retry_after.RECORD_S)
+        return Unavailable(detail, OUTCOME_NOT_RUN, retry_after.RECORD_UNAVAILABLE_S)
     if record.body is None:
         return OutcomeUnknown("it ran; its answer was too large to keep", OUTCOME_RUN)
     return None
--- a/src/crankseam/requests/context.py
+++ b/src/crankseam/requests/context.py
@@ -78,11 +78,11 @@
         return self.service
 
 
-Next = Callable[[RequestContext], Awaitable[Answer]]
-Filter = Callable[[RequestContext, Next], Awaitable[Answer]]
+NextHandler = Callable[[RequestContext], Awaitable[Answer]]
+Filter = Callable[[RequestContext, NextHandler], Awaitable[Answer]]
 
 
-def build_chain(filters: list[Filter], last: Next) -> Next:
+def build_chain(filters: list[Filter], last: NextHandler) -> NextHandler:
     """Compose the filters into one handler; each filter calls the next, the last calls `last`."""
     chain = last
     for request_filter in reversed(filters):
@@ -90,7 +90,7 @@
     return chain
 
 
-def _bind(request_filter: Filter, call_next: Next) -> Next:
+def _bind(request_filter: Filter, call_next: NextHandler) -> NextHandler:
     async def step(context: RequestContext) -> Answer:
         return await request_filter(context, call_next)
 
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -237,7 +237,7 @@
         return Answer(upstream.status, headers, None, response)
 
 
-def trace_first_byte() -> aiohttp.TraceConfig:
+def dispatch_trace_config() -> aiohttp.TraceConfig:
     """Return a trace configuration that marks a request as dispatched before its first byte."""
     trace = aiohttp.TraceConfig()
 
--- a/src/crankseam/requests/home_region.py
+++ b/src/crankseam/requests/home_region.py
@@ -23,7 +23,7 @@
 from crankseam.errors import OutcomeUnknown, Unavailable
 from crankseam.peers.messages import Member
 from crankseam.requests import retry_after
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 from crankseam.requests.headers import end_to_end_headers
 
 log = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
         self._session = session
         self._random = random.Random(f"home {agent.identity}")
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Forward the request, unless this is its home region or it was forwarded already."""
         home_region = context.require_service().home_region
         if home_region == self._agent.settings.region:
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -20,7 +20,7 @@
 from crankseam.errors import BadRequest, IdentifierExpired, NotFound, Unavailable
 from crankseam.identifiers import date_of
 from crankseam.requests import retry_after
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 
 MAX_ID_LENGTH = 200
 """Maximum length of a request id in characters; records and logs contain the id."""
@@ -39,7 +39,7 @@
     def __init__(self, retention_s: float) -> None:
         self._retention_ms = retention_s * 1000
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Set the ids and the body of the context; refuse malformed ids and oversized bodies."""
         headers = context.http.headers
         context.request_id = headers.get(REQUEST_ID_HEADER) or str(uuid.uuid4())
@@ -71,7 +71,7 @@
 class DeadlineFilter:
     """Sets the deadline from the caller's header; `ConfigurationFilter` may shorten it."""
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Set the deadline, relative to the request's arrival."""
         deadline_text = context.http.headers.get(DEADLINE_HEADER)
         allowed_s = DEFAULT_DEADLINE_S
@@ -89,7 +89,7 @@
     def __init__(self, lease: ConfigurationLease) -> None:
         self._lease = lease
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Look up the service; refuse the request if the configuration lease has expired."""
         context.snapshot = self._lease.snapshot
         service = context.snapshot.services.get(context.service_name)
@@ -100,7 +100,7 @@
             context.deadline = min(context.deadline, context.arrived + service.deadline)
         if not self._lease.is_held():
             detail = "this node cannot confirm its configuration"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.UNCONFIRMED_S)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.CONFIGURATION_UNCONFIRMED_S)
         if service is None:
             raise NotFound(f"no service {context.service_name}", OUTCOME_NOT_RUN)
         if context.must_not_repeat and context.idempotency_key is None:
--- a/src/crankseam/requests/limits.py
+++ b/src/crankseam/requests/limits.py
@@ -17,7 +17,7 @@
 from crankseam.controllers.limit_shares import LimitShareController
 from crankseam.errors import Overloaded, Unavailable
 from crankseam.requests import retry_after
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 
 
 class ServiceLimitFilter:
@@ -26,7 +26,7 @@
     def __init__(self, shares: LimitShareController) -> None:
         self._shares = shares
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Hold one unit of this node's share of the limit while the request runs."""
         assert context.snapshot is not None
         limit = context.snapshot.limit_for(context.service_name)
@@ -49,7 +49,7 @@
         self.running = 0
         self.draining = False
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Count the request while it runs; refuse it at once if the limit is reached."""
         if self.draining:
             raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
--- a/src/crankseam/requests/retry_after.py
+++ b/src/crankseam/requests/retry_after.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-UNCONFIRMED_S = 1.0
+CONFIGURATION_UNCONFIRMED_S = 1.0
 """This node holds no configuration lease. Relays read the configuration register five times per
 lease term of 2.5 s."""
 STOPPING_S = 1.0
@@ -25,7 +25,7 @@
 follows within 1 s."""
 PAST_DEADLINE_S = 1.0
 """The caller's deadline passed before the request was forwarded."""
-RECORD_S = 1.0
+RECORD_UNAVAILABLE_S = 1.0
 """The replicas could not agree on the request's record, or another handling holds the claim."""
 OTHER_REGION_S = 2.0
 """The service's home region cannot be reached from this node."""
--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -90,7 +90,7 @@
             raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
         if not self._agent.lease.is_held():
             detail = "this node cannot confirm its configuration"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.UNCONFIRMED_S)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.CONFIGURATION_UNCONFIRMED_S)
         name = request.match_info["trainer"]
         trainer = self._agent.lease.snapshot.trainers.get(name)
         if trainer is None:
@@ -141,7 +141,9 @@
         except RecordError as error:
             del self._runs[trainer.name, open_step.step]
             await run.stop()
-            raise Unavailable(f"step not recorded: {error}", OUTCOME_UNKNOWN, retry_after.RECORD_S)
+            raise Unavailable(
+                f"step not recorded: {error}", OUTCOME_UNKNOWN, retry_after.RECORD_UNAVAILABLE_S
+            )
         return run
 
     def _scheduler_for(self, pool_name: str) -> PoolScheduler:
