--- a/src/crankseam_experiments/weakened_node.py
+++ b/src/crankseam_experiments/weakened_node.py
@@ -19,7 +19,7 @@
 from crankseam.errors import Problem
 from crankseam.node import Node
 from crankseam.requests.claim import ClaimFilter, RefusalFilter, RequestClaims
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 from crankseam.rollout import executors, generation, service, step_run
 from crankseam.rollout.messages import Segment
 from crankseam.routing import Router
@@ -92,7 +92,9 @@
 def _forward_without_claim() -> None:
     """No request is claimed before it is forwarded."""
 
-    async def forward(_self: ClaimFilter, context: RequestContext, following: Next) -> Answer:
+    async def forward(
+        _self: ClaimFilter, context: RequestContext, following: NextHandler
+    ) -> Answer:
         return await following(context)
 
     replace_attribute(ClaimFilter, "__call__", forward)
