--- a/src/crankseam/back_end_probe.py
+++ b/src/crankseam/back_end_probe.py
@@ -54,7 +54,7 @@
         self._clock = clock
         self._cached_reports: dict[str, _CachedReport] = {}
 
-    async def may_get_work(self, back_end: BackEnd) -> bool:
+    async def may_receive_work(self, back_end: BackEnd) -> bool:
         """Whether a back end that routing chose may receive work.
 
         The caller must ask immediately before it sends, so that the answer is current.
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -40,7 +40,7 @@
 from crankseam.errors import CrankseamError
 from crankseam.peers.messages import BackEndReport
 from crankseam.records.slots import sort_by_rank
-from crankseam.routing import NOTE_PREFIX
+from crankseam.routing import CONTROLLER_REPORT_PREFIX
 from crankseam.weights_cache import cache_source
 
 log = logging.getLogger(__name__)
@@ -288,7 +288,7 @@
             reports.append(
                 BackEndReport(
                     target=f"{pool.name}/{sampler.name}",
-                    watcher=f"{NOTE_PREFIX}{self._agent.settings.name}",
+                    watcher=f"{CONTROLLER_REPORT_PREFIX}{self._agent.settings.name}",
                     sequence=clocks.wall_ms(),
                     alive=True,
                     leaving=False,
--- a/src/crankseam/identifiers.py
+++ b/src/crankseam/identifiers.py
@@ -16,7 +16,7 @@
 """Number of bits below the 48-bit timestamp (RFC 9562, 5.7)."""
 
 
-def new_dated_id() -> str:
+def new_uuid7() -> str:
     """Return a new UUID of version 7, dated by the wall clock."""
     value = (clocks.wall_ms() << TIMESTAMP_SHIFT) | int.from_bytes(os.urandom(10), "big")
     value = (value & ~(0xF << 76)) | (UUID7_VERSION << 76)
@@ -24,7 +24,7 @@
     return str(uuid.UUID(int=value))
 
 
-def date_of(identifier: str) -> int:
+def timestamp_ms_of(identifier: str) -> int:
     """Return the time at which the id was created, in milliseconds since the Unix epoch.
 
     Raises
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -109,7 +109,7 @@
             if choice.back_end is None:
                 detail = "no back end can take the request"
                 raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.NO_BACK_END_S)
-            if not await self._probe.may_get_work(choice.back_end):
+            if not await self._probe.may_receive_work(choice.back_end):
                 tried.add(choice.back_end.name)
                 continue
             try:
@@ -168,12 +168,12 @@
             return answer
         except aiohttp.ClientConnectorError as error:
             send.was_not_run = True
-            self._router.fail_connection(target)
+            self._router.record_connection_failure(target)
             raise _NotSent from error
         except TimeoutError:
             raise OutcomeUnknown("no answer before the deadline", OUTCOME_UNKNOWN)
         except (aiohttp.ClientError, ConnectionError) as error:
-            self._router.fail_connection(target)
+            self._router.record_connection_failure(target)
             if await refuses_connections(back_end.address):
                 send.crashed_id = crash_id(back_end.name)
             raise OutcomeUnknown(f"connection broke: {type(error).__name__}", OUTCOME_UNKNOWN)
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -18,7 +18,7 @@
     REQUEST_ID_HEADER,
 )
 from crankseam.errors import BadRequest, IdentifierExpired, NotFound, Unavailable
-from crankseam.identifiers import date_of
+from crankseam.identifiers import timestamp_ms_of
 from crankseam.requests import retry_after
 from crankseam.requests.context import Answer, NextHandler, RequestContext
 
@@ -56,7 +56,7 @@
 
     def _check_key(self, key: str) -> int:
         try:
-            dated = date_of(key)
+            dated = timestamp_ms_of(key)
         except ValueError:
             detail = f"{IDEMPOTENCY_HEADER} must be a UUID of version 7 (RFC 9562)"
             raise BadRequest(detail, OUTCOME_NOT_RUN)
--- a/src/crankseam/rollout/generation.py
+++ b/src/crankseam/rollout/generation.py
@@ -243,8 +243,8 @@
         if decision.choice is None:
             return None
         sampler = next(s for s in generation_target.pool.samplers if s.name == decision.choice)
-        if not await self._probe.may_get_work(sampler):
-            self._router.fail_connection(f"{generation_target.pool.name}/{sampler.name}")
+        if not await self._probe.may_receive_work(sampler):
+            self._router.record_connection_failure(f"{generation_target.pool.name}/{sampler.name}")
             return None
         self._decisions.record(decision)
         tokens_before = len(job.tokens)
@@ -282,13 +282,13 @@
         version_filter = _make_version_filter(generation_target)
 
         def eligible(candidate: Candidate) -> str | None:
-            in_flight = self._router.view(f"{pool.name}/{candidate.name}").in_flight
+            in_flight = self._router.local_state(f"{pool.name}/{candidate.name}").in_flight
             if in_flight >= pool.max_running_per_sampler:
                 return f"full: {in_flight} running"
             return version_filter(candidate)
 
         if pool.routing == "round_robin":
-            return self._router.take_turns(pool.name, pool.samplers, eligible)
+            return self._router.choose_round_robin(pool.name, pool.samplers, eligible)
         return self._router.choose(pool.name, pool.samplers, eligible)
 
     async def _attempt(
@@ -309,7 +309,7 @@
         finally:
             self._router.finish(target)
         if outcome.refused or outcome.broke:
-            self._router.fail_connection(target)
+            self._router.record_connection_failure(target)
         send.was_not_run = outcome.refused
         if outcome.broke and not outcome.tokens and await refuses_connections(sampler.address):
             send.crashed_id = crash_id(sampler.name)
--- a/src/crankseam/routing.py
+++ b/src/crankseam/routing.py
@@ -40,8 +40,8 @@
 MAX_SEND_TIMES = 1024
 """Most send times kept per back end; those later than a report are added to the reported load."""
 
-NOTE_PREFIX = "weights/"
-"""Prefix of the watcher name in reports that carry a controller's note and no load."""
+CONTROLLER_REPORT_PREFIX = "weights/"
+"""Prefix of the watcher name in reports that a controller writes; they carry no load."""
 
 LEAVING_BY_FILE = "leaving: by its file"
 LEAVING_BY_REPORT = "leaving: by its own report"
@@ -72,8 +72,10 @@
 
 
 def watcher_reports(reports: Iterable[AgedReport]) -> list[AgedReport]:
-    """Return the reports that come from watchers, without controllers' notes."""
-    return [aged for aged in reports if not aged.report.watcher.startswith(NOTE_PREFIX)]
+    """Return the reports that come from watchers, not from controllers."""
+    return [
+        aged for aged in reports if not aged.report.watcher.startswith(CONTROLLER_REPORT_PREFIX)
+    ]
 
 
 @dataclass(frozen=True)
@@ -104,23 +106,23 @@
         self.leaving_machines: set[str] = set()
         """Hosts of the machines that the machine list reports as leaving or gone."""
 
-    def view(self, target: str) -> LocalBackEndState:
+    def local_state(self, target: str) -> LocalBackEndState:
         """Return this node's own state of a back end; `target` is `group/back end`."""
         return self._states.setdefault(target, LocalBackEndState())
 
     def start(self, target: str) -> None:
         """Record that a request is now sent to the back end."""
-        local_state = self.view(target)
+        local_state = self.local_state(target)
         local_state.in_flight += 1
         local_state.sent_at.append(self._clock())
 
     def finish(self, target: str) -> None:
         """Record that a request to the back end ended."""
-        self.view(target).in_flight -= 1
+        self.local_state(target).in_flight -= 1
 
-    def fail_connection(self, target: str) -> None:
+    def record_connection_failure(self, target: str) -> None:
         """Record a refused connection, which makes the back end ineligible for a while."""
-        self.view(target).failed_at = self._clock()
+        self.local_state(target).failed_at = self._clock()
 
     def choose(
         self,
@@ -155,7 +157,7 @@
         chosen = self._random.choice(same_zone or tied)
         return Choice(by_name[chosen.name], candidates)
 
-    def take_turns(
+    def choose_round_robin(
         self,
         group: str,
         back_ends: Iterable[BackEnd],
@@ -173,7 +175,7 @@
 
     def _make_candidate(self, group: str, back_end: BackEnd) -> Candidate:
         target = f"{group}/{back_end.name}"
-        local_state = self.view(target)
+        local_state = self.local_state(target)
         reports = self._digest.reports_for(target)
         refused = self._refusal(back_end, local_state, reports)
         newest = min(watcher_reports(reports), key=lambda aged: aged.age, default=None)
--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from crankseam.config.kinds import Service
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam_experiments.experiment_run import ExperimentRun
 from crankseam_experiments.plots import write_page
 from crankseam_experiments.spec import Experiment
@@ -49,7 +49,7 @@
     async def _send(self, way: str) -> float:
         url = self._straight if way == "straight" else self._through
         method = "POST" if way == "node_claimed" else "GET"
-        headers = {"Idempotency-Key": new_dated_id()}
+        headers = {"Idempotency-Key": new_uuid7()}
         started = time.perf_counter()
         async with self._session.request(method, url, data=BODY, headers=headers) as answer:
             await answer.read()
--- a/src/crankseam_standins/caller.py
+++ b/src/crankseam_standins/caller.py
@@ -16,7 +16,7 @@
 import aiohttp
 import msgspec
 
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam_standins.account import Account
 from crankseam_standins.app import expected_answer
 
@@ -73,7 +73,7 @@
         self.report.sent += 1
         started = time.monotonic()
         is_read = self._random.random() < self._plan.read_share
-        operation = new_dated_id()
+        operation = new_uuid7()
         body = f"slot-{self._random.randrange(10**9)}".encode()
         outcome = "not_run"
         for _attempt in range(MAX_ATTEMPTS):
--- a/tests/requests/test_app_requests.py
+++ b/tests/requests/test_app_requests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from crankseam.errors import NoQuorum, PeerTimeout
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam_standins.app import expected_answer
 from tests.support.harness import eventually, running_cluster
 
@@ -36,7 +36,7 @@
 
 
 async def test_an_answer_is_whole_and_names_its_decision(cluster, session):
-    key = new_dated_id()
+    key = new_uuid7()
     status, text, headers = await book(session, cluster.url(0), key)
     assert status == 200
     assert text == expected_answer(key, b"slot")
@@ -49,7 +49,7 @@
 
 
 async def test_a_repetition_through_another_node_gets_the_first_answer(cluster, session):
-    key = new_dated_id()
+    key = new_uuid7()
     first = await book(session, cluster.url(0), key)
     second = await book(session, cluster.url(1), key)
     assert second[:2] == first[:2]
@@ -59,7 +59,7 @@
 
 async def test_the_same_attempt_sent_twice_at_once_runs_once(cluster, session):
     """Two handlings of one attempt on one node must not take each other's claim for their own."""
-    key, attempt = new_dated_id(), str(uuid.uuid4())
+    key, attempt = new_uuid7(), str(uuid.uuid4())
     await asyncio.gather(
         *(book(session, cluster.url(n % 3), key, request_id=attempt) for n in range(9))
     )
@@ -67,7 +67,7 @@
 
 
 async def test_the_same_key_for_another_request_is_refused(cluster, session):
-    key = new_dated_id()
+    key = new_uuid7()
     await book(session, cluster.url(0), key)
     status, problem, _ = await book(session, cluster.url(1), key, body=b"other")
     assert (status, problem["outcome"]) == (400, "unknown")
@@ -81,7 +81,7 @@
 
 async def test_not_run_is_committed_before_it_is_told(cluster, session):
     """A handling that stalls before its claim must send nothing once `not_run` was told."""
-    key, attempt = new_dated_id(), str(uuid.uuid4())
+    key, attempt = new_uuid7(), str(uuid.uuid4())
     cluster.nodes[0].admission.draining = True
     status, problem, headers = await book(session, cluster.url(0), key, request_id=attempt)
     assert (status, problem["outcome"]) == (503, "not_run")
@@ -100,7 +100,7 @@
 
 
 async def test_a_node_that_sheds_does_not_call_not_run_what_ran_elsewhere(cluster, session):
-    key = new_dated_id()
+    key = new_uuid7()
     await book(session, cluster.url(0), key)
     cluster.nodes[1].admission.draining = True
     status, problem, _ = await book(session, cluster.url(1), key)
@@ -115,14 +115,14 @@
 
     node.agent.proposer.create = lost
     node.agent.proposer.change = lost
-    status, problem, headers = await book(session, cluster.url(0), new_dated_id())
+    status, problem, headers = await book(session, cluster.url(0), new_uuid7())
     assert status in (429, 503)  # 429 if the share of the limit cannot be renewed either
     assert problem["outcome"] == "unknown"
     assert "Retry-After" in headers
 
 
 async def test_a_lost_answer_is_unknown_and_does_not_run_again(cluster, session):
-    key = new_dated_id()
+    key = new_uuid7()
     for app in cluster.platform.apps.values():
         app.faults.lose_answers = 1
     status, problem, _ = await book(session, cluster.url(0), key)
@@ -146,14 +146,14 @@
     await eventually(out_everywhere, "app-0 out of routing on all nodes")
     before = len(cluster.platform.accounts["app-0"].lines)
     for _ in range(20):
-        await book(session, cluster.url(0), new_dated_id())
+        await book(session, cluster.url(0), new_uuid7())
     assert len(cluster.platform.accounts["app-0"].lines) == before
 
 
 async def test_a_node_that_was_stopped_sends_nothing_on_its_old_view(cluster, session):
     """The node stalls between routing and the first byte, longer than a back end needs to drain."""
     node = cluster.nodes[0]
-    key = new_dated_id()
+    key = new_uuid7()
     record_decision = node.decisions.record
 
     def pause_after_the_choice(decision):
@@ -166,7 +166,7 @@
     assert key not in cluster.platform.ran()
     node.decisions.record = record_decision
     await eventually(node.agent.may_send_work, "the view is renewed")
-    assert (await book(session, cluster.url(0), new_dated_id()))[0] == 200
+    assert (await book(session, cluster.url(0), new_uuid7()))[0] == 200
 
 
 async def test_a_back_end_that_leaves_in_a_cut_zone_gets_no_work(cluster, session):
@@ -193,13 +193,13 @@
     silence = outside.settings.timing.heartbeat_interval * 2
     await eventually(lambda: outside.agent.digest.zone_silence("zone-a") > silence)
     for _ in range(20):
-        assert (await book(session, cluster.url(1), new_dated_id()))[0] == 200
+        assert (await book(session, cluster.url(1), new_uuid7()))[0] == 200
     assert cluster.platform.accounts["app-0"].lines == []
 
 
 async def test_a_request_survives_its_nodes_death_as_unknown(cluster, session):
     """The record of a claim outlives the node that holds it; the retry is answered at once."""
-    key = new_dated_id()
+    key = new_uuid7()
     for app in cluster.platform.apps.values():
         app._work_seconds = 5.0
     task = asyncio.create_task(book(session, cluster.url(0), key))
@@ -213,7 +213,7 @@
 
 
 async def test_a_planned_stop_finishes_what_runs_and_hands_records_over(cluster, session):
-    key, done = new_dated_id(), new_dated_id()
+    key, done = new_uuid7(), new_uuid7()
     await book(session, cluster.url(1), done)
     for app in cluster.platform.apps.values():
         app._work_seconds = 0.3
@@ -248,7 +248,7 @@
 
     watcher = asyncio.create_task(watch())
     answers = await asyncio.gather(
-        *(book(session, cluster.url(n % 3), new_dated_id()) for n in range(60))
+        *(book(session, cluster.url(n % 3), new_uuid7()) for n in range(60))
     )
     watcher.cancel()
     assert highest <= 4
--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from crankseam.cli.main import main
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam.quarantine import holding
 from tests.support.harness import eventually, running_cluster
 
@@ -91,7 +91,7 @@
 async def send(session, url, body=CRASHING_BODY, method="OPTIONS"):
     headers = {"Request-Id": str(uuid.uuid4())}
     if method == "POST":
-        headers["Idempotency-Key"] = new_dated_id()
+        headers["Idempotency-Key"] = new_uuid7()
     async with session.request(
         method, f"{url}/services/booking/slots/1", data=body, headers=headers
     ) as answer:
--- a/tests/requests/test_fuzz.py
+++ b/tests/requests/test_fuzz.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from tests.support.harness import running_cluster
 
 HEADERS = [
@@ -47,7 +47,7 @@
 def build(generator: random.Random) -> bytes:
     lines = [f"{generator.choice(METHODS)} {generator.choice(PATHS)} HTTP/1.1"]
     lines += [
-        f"{generator.choice(HEADERS)}: {generator.choice([*VALUES, new_dated_id()])}"
+        f"{generator.choice(HEADERS)}: {generator.choice([*VALUES, new_uuid7()])}"
         for _ in range(generator.randrange(5))
     ]
     raw = "\r\n".join([*lines, "Connection: close", "", ""]).encode("utf-8")
--- a/tests/requests/test_home_region.py
+++ b/tests/requests/test_home_region.py
@@ -3,7 +3,7 @@
 import aiohttp
 import pytest
 
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam_standins.app import expected_answer
 from tests.requests.test_app_requests import book
 from tests.support.harness import eventually, running_cluster
@@ -29,7 +29,7 @@
 
 async def test_it_is_passed_on_and_runs_once_whichever_region_is_asked(cluster, session):
     """Guards against one record per region, with which the same key could run in each region."""
-    key = new_dated_id()
+    key = new_uuid7()
     first = await book(session, cluster.url(REMOTE_NODE), key)
     second = await book(session, cluster.url(0), key)
     assert first[:2] == second[:2] == (200, expected_answer(key, b"slot"))
@@ -37,7 +37,7 @@
 
 
 async def test_with_the_home_region_out_of_reach_it_is_answered_at_once(cluster, session):
-    key = new_dated_id()
+    key = new_uuid7()
     for index in range(3):
         await cluster.kill(index)
     status, problem, headers = await book(session, cluster.url(REMOTE_NODE), key)
--- a/tests/rollout/test_generation.py
+++ b/tests/rollout/test_generation.py
@@ -55,7 +55,7 @@
 
 
 class Probe:
-    async def may_get_work(self, back_end):
+    async def may_receive_work(self, back_end):
         return True
 
 
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -11,7 +11,7 @@
 import pytest
 
 from crankseam.config.kinds import BackEnd, Limit, SamplerPool, Trainer
-from crankseam.identifiers import date_of, new_dated_id
+from crankseam.identifiers import new_uuid7, timestamp_ms_of
 from crankseam.rollout import executors
 from crankseam.rollout.cursor import format_cursor, parse_cursor
 from crankseam.rollout.messages import OpenStep, SampleRequest, SampleResult
@@ -58,7 +58,7 @@
         self.samplers: list[SamplerStandin] = samplers
         self.runners = runners
         self.session = session
-        self.opened_at = date_of(new_dated_id())
+        self.opened_at = timestamp_ms_of(new_uuid7())
 
     def samples(self):
         return [
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -12,7 +12,7 @@
 
 from crankseam.controllers.retention import RetentionController
 from crankseam.errors import ApplyConflict, KeyValueError
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam_standins.app import expected_answer
 from crankseam_standins.faults import FaultOrder
 from tests.support.harness import Cluster, Platform, eventually
@@ -26,7 +26,7 @@
     """Return an idempotency key dated by the caller's clock, which does not step."""
     stepped_clock, time.time_ns = time.time_ns, REAL_TIME_NS
     try:
-        return new_dated_id()
+        return new_uuid7()
     finally:
         time.time_ns = stepped_clock
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,10 +9,10 @@
 from crankseam.peers.messages import BackEndReport
 from crankseam.routing import (
     CONNECTION_FAILURE_S,
+    CONTROLLER_REPORT_PREFIX,
     LEAVING_BY_FILE,
     LEAVING_BY_MACHINE_LIST,
     LEAVING_BY_REPORT,
-    NOTE_PREFIX,
     LocalBackEndState,
     Router,
     expected_load,
@@ -98,19 +98,19 @@
     harness.report("b-0", "node-0", alive=False)
     harness.report("b-1", "node-0", alive=False)
     harness.report("b-1", "node-1", alive=True)
-    harness.report("b-2", f"{NOTE_PREFIX}node-0", alive=True)
+    harness.report("b-2", f"{CONTROLLER_REPORT_PREFIX}node-0", alive=True)
     refusals = harness.refusals()
     assert refusals["b-0"] == "does not answer its watchers"
     assert refusals["b-1"] is None and refusals["b-2"] is None
 
 
 def test_one_that_is_set_aside_gets_nothing_and_the_reason_is_told(harness):
-    harness.report("b-0", f"{NOTE_PREFIX}node-0", set_aside="2 loads failed")
+    harness.report("b-0", f"{CONTROLLER_REPORT_PREFIX}node-0", set_aside="2 loads failed")
     assert harness.refusals()["b-0"] == "set aside: 2 loads failed"
 
 
 def test_one_that_refused_a_connection_is_passed_over_for_a_while(harness):
-    harness.router.fail_connection("s/b-1")
+    harness.router.record_connection_failure("s/b-1")
     assert harness.refusals()["b-1"] == "refused a connection just now"
     harness.clock.now += CONNECTION_FAILURE_S
     assert harness.refusals()["b-1"] is None
