--- a/src/crankseam/back_end_probe.py
+++ b/src/crankseam/back_end_probe.py
@@ -59,7 +59,7 @@
 
         The caller must ask immediately before it sends, so that the answer is current.
         """
-        if self._digest.zone_silence(back_end.zone) <= self._silence_limit_s:
+        if self._digest.seconds_since_zone_update(back_end.zone) <= self._silence_limit_s:
             return True
         report = await self._fetch_cached(back_end.address)
         return report is not None and not report.leaving
--- a/src/crankseam/cluster/agent.py
+++ b/src/crankseam/cluster/agent.py
@@ -36,7 +36,7 @@
 from crankseam.records.replica import UNDATED, ReplicaStore
 from crankseam.records.slots import slot_of
 from crankseam.settings import NodeSettings
-from crankseam.tasks import TaskGroupOwner
+from crankseam.tasks import BackgroundTasks
 
 SEED_TIMEOUT_S = 1.0
 """How long one seed may take to answer at the start."""
@@ -50,7 +50,7 @@
     def __init__(self, settings: NodeSettings, key_value: KeyValueClient) -> None:
         self.settings = settings
         self.key_value = key_value
-        self.tasks = TaskGroupOwner()
+        self.tasks = BackgroundTasks()
         self.digest = DigestTable(settings.region)
         timing = settings.timing
         self.lease = ConfigurationLease(timing.configuration_term, timing.clock_margin)
@@ -123,7 +123,7 @@
             digest=self.digest,
             order=order,
             replicas=self.replicas,
-            learn_replica_set=self.learn_replica_set,
+            merge_replica_set=self.merge_replica_set,
             lease=self.lease,
             register=self.register,
             snapshots=snapshots,
@@ -131,7 +131,7 @@
         )
 
     def _create_records(self) -> None:
-        self.replicas = ReplicaStore(self.identity, self.learn_replica_set)
+        self.replicas = ReplicaStore(self.identity, self.merge_replica_set)
         self.proposer = Proposer(
             self.identity, self, self.digest.slots, self.settings.timing.record_timeout
         )
@@ -166,7 +166,7 @@
                 answer = await self.transport.call_for(seed, probe, ExchangeAnswer, SEED_TIMEOUT_S)
             except PeerError:
                 continue  # the address may be outdated; the heartbeat loop contacts seeds again
-            self.digest.learn(answer.entries)
+            self.digest.merge(answer.entries)
         own_entry = self.digest.member(self.settings.name)
         return own_entry.incarnation if own_entry else 0
 
@@ -190,12 +190,12 @@
             raise PeerUnreachable(identity)
         return await self.transport.call(member.peer_address, message, timeout)
 
-    def learn_replica_set(self, replica_set: ReplicaSet) -> None:
+    def merge_replica_set(self, replica_set: ReplicaSet) -> None:
         """Store a slot's newer replica set in the digest table and pass it to the replica store.
 
         The replica store acts only on a founded set, which has no state to carry over.
         """
-        self.digest.learn_replica_set(replica_set)
+        self.digest.merge_replica_set(replica_set)
         self.replicas.start_founded_epoch(replica_set)
 
     def may_send_work(self) -> bool:
--- a/src/crankseam/cluster/digest.py
+++ b/src/crankseam/cluster/digest.py
@@ -125,7 +125,7 @@
 
     # --- merging received entries
 
-    def learn_member(self, member: Member) -> bool:
+    def merge_member(self, member: Member) -> bool:
         """Store the entry if it is newer than the stored one; return whether it was."""
         known = self._members.get(member.name)
         if known is not None and member_precedence(known.item) >= member_precedence(member):
@@ -139,7 +139,7 @@
             self._notify(member)
         return True
 
-    def learn_report(self, report: BackEndReport) -> bool:
+    def merge_report(self, report: BackEndReport) -> bool:
         """Store a watcher's report on a back end if it is newer; return whether it was."""
         key = (report.target, report.watcher)
         known = self._reports.get(key)
@@ -152,7 +152,7 @@
             self._notify(report)
         return True
 
-    def learn_replica_set(self, replica_set: ReplicaSet) -> bool:
+    def merge_replica_set(self, replica_set: ReplicaSet) -> bool:
         """Store a slot's replica set if it is newer; return whether it was."""
         if not self.slots.update(replica_set):
             return False
@@ -160,7 +160,7 @@
         self._sets[replica_set.slot] = _Versioned(replica_set, self._next_version(), self._clock())
         return True
 
-    def learn_pulse(self, zone: str, pulse: int) -> None:
+    def merge_pulse(self, zone: str, pulse: int) -> None:
         """Store a zone's pulse if it is newer.
 
         The first relay of a zone raises its pulse at each heartbeat, so the arrival of a newer
@@ -171,7 +171,7 @@
             self._pulses.pop(zone, None)
             self._pulses[zone] = _Versioned((zone, pulse), self._next_version(), self._clock())
 
-    def zone_silence(self, zone: str) -> float:
+    def seconds_since_zone_update(self, zone: str) -> float:
         """Seconds since a newer pulse of the zone arrived.
 
         0 for a zone without known members, infinite for a zone with members but no pulse yet.
@@ -181,16 +181,16 @@
             return self._clock() - known.changed_at
         return float("inf") if zone in self.zones() else 0.0
 
-    def learn(self, entries: Entries) -> None:
+    def merge(self, entries: Entries) -> None:
         """Merge entries received from another node's table."""
         for member in entries.members:
-            self.learn_member(member)
+            self.merge_member(member)
         for report in entries.back_ends:
-            self.learn_report(report)
+            self.merge_report(report)
         for replica_set in entries.replica_sets:
-            self.learn_replica_set(replica_set)
+            self.merge_replica_set(replica_set)
         for zone, pulse in entries.pulses.items():
-            self.learn_pulse(zone, pulse)
+            self.merge_pulse(zone, pulse)
 
     # --- entries for other nodes
 
--- a/src/crankseam/cluster/local_member.py
+++ b/src/crankseam/cluster/local_member.py
@@ -19,7 +19,7 @@
     def __init__(self, entry: Member, digest: DigestTable) -> None:
         self.entry = entry
         self._digest = digest
-        digest.learn_member(entry)
+        digest.merge_member(entry)
         digest.on_change(self._refute_death)
 
     @property
@@ -52,7 +52,7 @@
             revision=old.revision if revision is None else revision,
             caller_address=old.caller_address if caller_address is None else caller_address,
         )
-        self._digest.learn_member(self.entry)
+        self._digest.merge_member(self.entry)
 
     def _refute_death(self, _change: Member | BackEndReport) -> None:
         """Replace an entry that declares this process dead by one with a higher sequence."""
--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -102,7 +102,7 @@
             await self._send_heartbeats()
             if self.order.is_relay():
                 await self._relay.exchange()
-            self._parts.stall_guard.view_renewed(started)
+            self._parts.stall_guard.record_response(started)
             self._start_founded_sets()
             await self._sleep_until_next(started)
 
@@ -161,7 +161,7 @@
             return
         self.order.record_success(relay.name)
         self._record_acknowledged(relay.name, answer.relay_incarnation, message)
-        self._digest.learn(answer.entries)
+        self._digest.merge(answer.entries)
         if wants_entries:
             version = KnownVersion(answer.relay_incarnation, answer.entries.version)
             self._known_versions[relay.name] = version
@@ -217,11 +217,11 @@
     async def _on_heartbeat(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Heartbeat)
         self._relay.members.record_contact([message.member.name], time.monotonic())
-        self._digest.learn_member(message.member)
+        self._digest.merge_member(message.member)
         for report in message.back_ends:
-            self._digest.learn_report(report)
+            self._digest.merge_report(report)
         for replica_set in message.replica_sets:
-            self._parts.learn_replica_set(replica_set)
+            self._parts.merge_replica_set(replica_set)
         incarnation = self._parts.local.incarnation
         if message.known_version == NO_ENTRIES:
             entries = self._digest.changes_since(self._digest.version)
--- a/src/crankseam/cluster/parts.py
+++ b/src/crankseam/cluster/parts.py
@@ -20,7 +20,7 @@
 from crankseam.peers.transport import PeerTransport
 from crankseam.records.replica import ReplicaStore
 from crankseam.settings import NodeSettings
-from crankseam.tasks import TaskGroupOwner
+from crankseam.tasks import BackgroundTasks
 
 
 @dataclass(frozen=True)
@@ -31,19 +31,19 @@
     ==========
 
     identity : `node@incarnation` of this process.
-    learn_replica_set : stores a slot's newer replica set in the digest table. If the set was
+    merge_replica_set : stores a slot's newer replica set in the digest table. If the set was
         founded (created without state to carry over), it also takes effect in the replica store.
     """
 
     settings: NodeSettings
     identity: str
-    tasks: TaskGroupOwner
+    tasks: BackgroundTasks
     transport: PeerTransport
     local: LocalMember
     digest: DigestTable
     order: ZoneOrder
     replicas: ReplicaStore
-    learn_replica_set: Callable[[ReplicaSet], None]
+    merge_replica_set: Callable[[ReplicaSet], None]
     lease: ConfigurationLease
     register: ConfigurationRegister
     snapshots: SnapshotFollower
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -76,7 +76,7 @@
         """Fetch changes from this zone's other relay and, as the first relay, from other zones."""
         is_first = self._order.is_first_relay()
         if is_first:
-            self._digest.learn_pulse(self._settings.zone, clocks.wall_ms())
+            self._digest.merge_pulse(self._settings.zone, clocks.wall_ms())
         # The second relay receives the changes of other zones from the first one, its parent.
         zones = self._digest.zones() if is_first else [self._settings.zone]
         await asyncio.gather(*(self._pull_from_zone(zone) for zone in zones))
@@ -112,7 +112,7 @@
             self._order.record_failure(name)
             return
         self._order.record_success(name)
-        self._digest.learn(answer.entries)
+        self._digest.merge(answer.entries)
         self._known_versions[name] = KnownVersion(answer.relay_incarnation, answer.entries.version)
         now = time.monotonic()
         if from_zone is not None:
@@ -124,7 +124,7 @@
     async def _on_exchange(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Exchange)
         if message.member.incarnation:
-            self._digest.learn_member(message.member)
+            self._digest.merge_member(message.member)
         incarnation = self._parts.local.incarnation
         is_same_run = message.relay_incarnation == incarnation
         since = message.known_version if is_same_run else 0
@@ -190,7 +190,7 @@
     def _declare_dead(self, member: Member) -> None:
         log.warning("member declared dead", extra={"member": member.identity})
         dead = msgspec.structs.replace(member, status=int(MemberStatus.DEAD))
-        self._digest.learn_member(dead)
+        self._digest.merge_member(dead)
         self.members.forget(member.name)
 
     # --- the configuration register
--- a/src/crankseam/cluster/stall_guard.py
+++ b/src/crankseam/cluster/stall_guard.py
@@ -34,18 +34,18 @@
     def __init__(self, max_tick_gap: float, clock: Callable[[], float] = clocks.promised_s) -> None:
         self._max_tick_gap = max_tick_gap
         self._clock = clock
-        self._ticked_at = clock()
+        self._last_tick_at = clock()
         self._stalled = False
         self._stall_detected_at = float("-inf")
 
     def tick(self) -> None:
         """Record that the event loop is running; must be called every `TICK_S`."""
         self._detect_stall()
-        self._ticked_at = self._clock()
+        self._last_tick_at = self._clock()
 
     def _detect_stall(self) -> None:
         now = self._clock()
-        if now - self._ticked_at > self._max_tick_gap:
+        if now - self._last_tick_at > self._max_tick_gap:
             self._stalled = True
             self._stall_detected_at = now
 
@@ -57,7 +57,7 @@
         self._detect_stall()
         return not self._stalled
 
-    def view_renewed(self, asked_at: float) -> None:
+    def record_response(self, asked_at: float) -> None:
         """Record that other nodes answered a request that was sent at `asked_at`.
 
         The view becomes fresh only if the request was sent after the stall was detected.
--- a/src/crankseam/cluster/urgent_updates.py
+++ b/src/crankseam/cluster/urgent_updates.py
@@ -151,7 +151,7 @@
 
     async def _on_nudge(self, _peer: str, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Nudge)
-        self._parts.digest.learn(message.entries)
+        self._parts.digest.merge(message.entries)
         if message.revision > self._parts.lease.snapshot.revision:
             self._parts.snapshots.announce(message.revision)
             if self._order.is_relay() and message.revision > self._announced_revision:
--- a/src/crankseam/controllers/back_end_watch.py
+++ b/src/crankseam/controllers/back_end_watch.py
@@ -141,7 +141,7 @@
                 renewed.append(old)
                 continue
             renewed.append(report)
-            self._agent.digest.learn_report(report)
+            self._agent.digest.merge_report(report)
         self._controller_reports[source] = renewed
 
     async def run(self) -> None:
@@ -216,7 +216,7 @@
         report = msgspec.structs.replace(report, sequence=self._sequence)
         self._reports[target.name] = report
         self._sent_at[target.name] = time.monotonic()
-        self._agent.digest.learn_report(report)
+        self._agent.digest.merge_report(report)
         if previous is None or previous.leaving != report.leaving or previous.alive != report.alive:
             self._agent.membership.nudge()
 
--- a/src/crankseam/controllers/founding.py
+++ b/src/crankseam/controllers/founding.py
@@ -110,7 +110,7 @@
         if held is not None:
             record = msgspec.msgpack.decode(held.value, type=FoundingRecord)
             for replica_set in record.sets:
-                self._agent.learn_replica_set(replica_set)
+                self._agent.merge_replica_set(replica_set)
             lost = self._lost_sets()
             if not lost:
                 return
@@ -138,7 +138,7 @@
             answer = await agent.transport.call_for(
                 member.peer_address, request, ExchangeAnswer, timeout
             )
-            agent.digest.learn(answer.entries)
+            agent.digest.merge(answer.entries)
 
         answers = await asyncio.gather(*(fetch_table(m) for m in peers), return_exceptions=True)
         all_answered = not any(isinstance(answer, BaseException) for answer in answers)
@@ -185,5 +185,5 @@
                 extra={"generation": new_record.generation, "lost": len(lost)},
             )
             for replica_set in new_record.sets:
-                self._agent.learn_replica_set(replica_set)
+                self._agent.merge_replica_set(replica_set)
             self._agent.membership.nudge()
--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -122,7 +122,7 @@
         """Count one request in flight less."""
         self.in_flight -= 1
 
-    def renew_in(self, table: ShareTable) -> ShareTable:
+    def with_renewal(self, table: ShareTable) -> ShareTable:
         """Return the table with this node's share renewed and expired shares of others removed."""
         others = {h: s for h, s in table.shares.items() if h != self.holder}
         active = {h: s for h, s in others.items() if not self._has_lapsed(h, s)}
@@ -221,7 +221,7 @@
 
         def change(standing: bytes | None) -> bytes:
             table = msgspec.msgpack.decode(standing, type=ShareTable) if standing else ShareTable()
-            renewed = share.renew_in(table)
+            renewed = share.with_renewal(table)
             share.prepare_renewal(renewed.shares[share.holder].amount)
             return msgspec.msgpack.encode(renewed)
 
--- a/src/crankseam/controllers/replica_placement.py
+++ b/src/crankseam/controllers/replica_placement.py
@@ -79,7 +79,7 @@
                 await self._move(slot.replica_set)
                 return
 
-    def is_needed(self) -> bool:
+    def holds_unsealed_slots(self) -> bool:
         """Whether this node still has an unsealed slot while its region has alive members."""
         if len(self._agent.digest.alive_in_region(self._agent.settings.region)) == 0:
             return False
@@ -141,7 +141,7 @@
             return
         self.moves += 1
         self._misplaced_since.pop(replica_set.slot, None)
-        self._agent.learn_replica_set(moved)
+        self._agent.merge_replica_set(moved)
         self._drop_if_not_member(moved)
         self._agent.membership.nudge()
 
@@ -175,5 +175,5 @@
             except RecordError:  # retried after the delay
                 self._sealed_since[old.slot] = time.monotonic()
                 continue
-            self._agent.learn_replica_set(agreed)
+            self._agent.merge_replica_set(agreed)
             self._drop_if_not_member(agreed)
--- a/src/crankseam/node.py
+++ b/src/crankseam/node.py
@@ -359,11 +359,11 @@
     def _is_drained(self) -> bool:
         busy = (
             self.admission.running
-            or self.rollout.streams
+            or self.rollout.open_streams
             or self.claims.pending_commits
-            or self.executors.running_for_others
+            or self.executors.streams_read_for_other_nodes
         )
-        return not busy and not self.placement.is_needed()
+        return not busy and not self.placement.holds_unsealed_slots()
 
     async def close(self) -> None:
         """Stop at once, without waiting for running work."""
--- a/src/crankseam/rollout/executors.py
+++ b/src/crankseam/rollout/executors.py
@@ -205,6 +205,6 @@
         return Done()
 
     @property
-    def running_for_others(self) -> int:
+    def streams_read_for_other_nodes(self) -> int:
         """Number of streams that this node reads for drivers on other nodes."""
         return len(self._running)
--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -45,7 +45,7 @@
         self._lengths = LengthEstimator()
         self._runs: dict[tuple[str, int], StepRun] = {}
         self._schedulers: dict[str, PoolScheduler] = {}
-        self.streams = 0
+        self.open_streams = 0
         self.draining = False
 
     def add_routes(self, app: web.Application) -> None:
@@ -193,7 +193,7 @@
         received = self._read_cursor(request)
         response = web.StreamResponse(headers={"Content-Type": JSON_LINES_CONTENT_TYPE})
         await response.prepare(request)
-        self.streams += 1
+        self.open_streams += 1
         try:
             async for result in run.deliver(received, version):
                 await response.write(msgspec.json.encode(result) + b"\n")
@@ -201,7 +201,7 @@
         except ConnectionError:
             log.info("trainer left its stream", extra={"step": run.open_step.step})
         finally:
-            self.streams -= 1
+            self.open_streams -= 1
         return response
 
     async def handle_acknowledge(self, request: web.Request) -> web.Response:
--- a/src/crankseam/rollout/step_run.py
+++ b/src/crankseam/rollout/step_run.py
@@ -29,7 +29,7 @@
 from crankseam.rollout.sample_records import SampleRecords
 from crankseam.rollout.scheduler import PoolScheduler
 from crankseam.rollout.step_rules import QueuePosition, queue_position
-from crankseam.tasks import TaskGroupOwner
+from crankseam.tasks import BackgroundTasks
 
 log = logging.getLogger(__name__)
 
@@ -86,7 +86,7 @@
         self._acknowledged: set[int] = set()
         self._generating: dict[int, asyncio.Task[None]] = {}
         self._changed = asyncio.Condition()
-        self._tasks = TaskGroupOwner()
+        self._tasks = BackgroundTasks()
         self.dropped_stale = 0
 
     # --- start and stop
--- a/src/crankseam/tasks.py
+++ b/src/crankseam/tasks.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-class TaskGroupOwner:
+class BackgroundTasks:
     """Owns background tasks and holds references to them while they run.
 
     Attributes
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -109,9 +109,9 @@
         },
         status=int(MemberStatus.DEAD),
     )
-    agents[1].agent.digest.learn_member(dead)
-    agents[2].agent.digest.learn_member(dead)
-    target.digest.learn_member(dead)
+    agents[1].agent.digest.merge_member(dead)
+    agents[2].agent.digest.merge_member(dead)
+    target.digest.merge_member(dead)
 
     def alive_again():
         found = [a.agent.digest.member(target.settings.name) for a in agents]
@@ -128,10 +128,10 @@
     now[0] = 3.0  # the process was stopped
     assert not guard.is_fresh()
     guard.tick()
-    guard.view_renewed(asked_before)
+    guard.record_response(asked_before)
     assert not guard.is_fresh()
     now[0] = 3.1
-    guard.view_renewed(now[0])
+    guard.record_response(now[0])
     assert guard.is_fresh()
 
 
--- a/tests/controllers/test_limit_shares.py
+++ b/tests/controllers/test_limit_shares.py
@@ -36,7 +36,7 @@
 
 
 def renewed(share, table, requested_at):
-    table = share.renew_in(table)
+    table = share.with_renewal(table)
     share.prepare_renewal(table.shares[share.holder].amount)
     share.confirm(table, requested_at)
     return table
@@ -59,7 +59,7 @@
 
 def lost(share, table):
     """Renew a share so that the renewal is agreed on but its confirmation is lost."""
-    table = share.renew_in(table)
+    table = share.with_renewal(table)
     share.prepare_renewal(table.shares[share.holder].amount)
     return table
 
--- a/tests/requests/test_app_requests.py
+++ b/tests/requests/test_app_requests.py
@@ -158,7 +158,7 @@
 
     def pause_after_the_choice(decision):
         record_decision(decision)
-        node.agent.stall_guard._ticked_at -= 10.0
+        node.agent.stall_guard._last_tick_at -= 10.0
 
     node.decisions.record = pause_after_the_choice
     status, problem, _ = await book(session, cluster.url(0), key)
@@ -191,7 +191,7 @@
         node.agent.membership._relay._declare_silent_zones = lambda: None
     cluster.platform.apps["app-0"].faults.leaving = True
     silence = outside.settings.timing.heartbeat_interval * 2
-    await eventually(lambda: outside.agent.digest.zone_silence("zone-a") > silence)
+    await eventually(lambda: outside.agent.digest.seconds_since_zone_update("zone-a") > silence)
     for _ in range(20):
         assert (await book(session, cluster.url(1), new_uuid7()))[0] == 200
     assert cluster.platform.accounts["app-0"].lines == []
--- a/tests/rollout/test_steps.py
+++ b/tests/rollout/test_steps.py
@@ -221,8 +221,14 @@
     monkeypatch.setattr(executors, "LOCAL_STREAM_THRESHOLD", 1)
     nodes = rollout.cluster.nodes
     await rollout.open(0)
-    await eventually(lambda: nodes[1].executors.running_for_others > 0, "a stream read by node 1")
-    await eventually(lambda: nodes[2].executors.running_for_others > 0, "a stream read by node 2")
+    await eventually(
+        lambda: nodes[1].executors.streams_read_for_other_nodes > 0,
+        "a stream read by node 1",
+    )
+    await eventually(
+        lambda: nodes[2].executors.streams_read_for_other_nodes > 0,
+        "a stream read by node 2",
+    )
     await rollout.cluster.kill(2)
     results = await rollout.stream(0)
     assert sorted(r.index for r in results) == list(range(STEP_SAMPLES))
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -82,7 +82,7 @@
 
 def test_a_share_of_a_limit_is_over(suspend):
     share = LimitShare("node", 10, 5.0, 0.5)
-    table = share.renew_in(ShareTable())
+    table = share.with_renewal(ShareTable())
     share.prepare_renewal(table.shares["node"].amount)
     share.confirm(table, clocks.promised_s())
     assert share.amount() > 0
@@ -97,7 +97,7 @@
     suspend()
     assert not guard.is_fresh()
     guard.tick()
-    guard.view_renewed(clocks.promised_s())
+    guard.record_response(clocks.promised_s())
     assert guard.is_fresh()
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -44,7 +44,7 @@
         values = {"alive": True, "leaving": False, "running": 0, "waiting": 0, "version": -1}
         values |= {"zone": "zone-0"} | fields
         sequence = round(self.clock.now * 1000)
-        self.digest.learn_report(BackEndReport(f"s/{name}", watcher, sequence, **values))
+        self.digest.merge_report(BackEndReport(f"s/{name}", watcher, sequence, **values))
 
     def choose(self, **options):
         return self.router.choose("s", BACK_ENDS, **options)
