--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -1,6 +1,6 @@
 """Explain a decision: by its id, a request id, an idempotency key, a sample or a back end.
 
-Any node can be asked, also after the node that decided has died. With `--log`, the story is told
+Any node can be asked, also after the node that decided has died. With `--log`, the log lines are extracted
 from log files instead, of as many machines as are given.
 """
 
@@ -13,7 +13,7 @@
 
 from crankseam.cli import exit_codes
 from crankseam.cli.common import add_json, add_node, ask_nodes, print_json, tls_context
-from crankseam.story import Line, read_lines, tell
+from crankseam.story import LogLine, extract, read_lines
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -51,25 +51,25 @@
 
 
 def _tell(arguments: argparse.Namespace) -> int:
-    """Tell an id's story from log files."""
-    story = tell(read_lines(arguments.log), arguments.id)
+    """Print the log lines about an id, from log files."""
+    log_extract = extract(read_lines(arguments.log), arguments.id)
     if arguments.json:
-        print_json({"subject": story.subject, "surroundings": story.surroundings})
-        return exit_codes.OK if story.subject else exit_codes.FAILED
-    if not story.subject:
+        print_json({"subject": log_extract.subject, "surroundings": log_extract.surroundings})
+        return exit_codes.OK if log_extract.subject else exit_codes.FAILED
+    if not log_extract.subject:
         print(f"no line tells of {arguments.id}")
         return exit_codes.FAILED
-    started = float(story.subject[0]["time"])
-    for line in story.subject:
+    started = float(log_extract.subject[0]["time"])
+    for line in log_extract.subject:
         print(_as_text(line, started))
-    if story.surroundings:
+    if log_extract.surroundings:
         print("meanwhile:")
-    for line in story.surroundings:
+    for line in log_extract.surroundings:
         print(_as_text(line, started))
     return exit_codes.OK
 
 
-def _as_text(line: Line, started: float) -> str:
+def _as_text(line: LogLine, started: float) -> str:
     common = ("time", "node", "level", "event")
     rest = " ".join(f"{name}={value}" for name, value in line.items() if name not in common)
     offset = float(line["time"]) - started
--- a/src/crankseam/story.py
+++ b/src/crankseam/story.py
@@ -43,20 +43,20 @@
 """Seconds before the first and after the last line of the id, within which events of the processes
 and back ends involved are included."""
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class LogExtract:
     """The log lines about one id and the events around them, each sorted by time."""
 
-    subject: list[Line]
-    surroundings: list[Line]
+    subject: list[LogLine]
+    surroundings: list[LogLine]
 
 
-def read_lines(files: Iterable[Path]) -> list[Line]:
+def read_lines(files: Iterable[Path]) -> list[LogLine]:
     """Read all log lines of the files, sorted by time; see `decode_line`."""
-    lines: list[Line] = []
+    lines: list[LogLine] = []
     for file in files:
         with file.open("rb") as stream:
             for raw in stream:
@@ -66,7 +66,7 @@
     return sorted(lines, key=lambda line: float(line["time"]))
 
 
-def decode_line(raw: bytes) -> Line | None:
+def decode_line(raw: bytes) -> LogLine | None:
     """Decode one log line; None if it is not a log line. Text before the first brace is skipped."""
     start = raw.find(b"{")
     if start < 0:
@@ -78,14 +78,14 @@
     return line if isinstance(line, dict) and "event" in line and "time" in line else None
 
 
-def _is_about(line: Line, subject: str) -> bool:
+def _is_about(line: LogLine, subject: str) -> bool:
     if any(line.get(field) == subject for field in SUBJECT_FIELDS):
         return True
     items = line.get("items")
     return isinstance(items, list) and subject in items
 
 
-def tell(lines: list[Line], subject: str) -> LogExtract:
+def extract(lines: list[LogLine], subject: str) -> LogExtract:
     """Extract the lines about one request, job, item, back end, model or machine.
 
     Includes the lines about the whole of each job that these lines name, but not about other items.
@@ -101,7 +101,7 @@
     return LogExtract(subject_lines, _surroundings(lines, subject_lines))
 
 
-def _is_line_of_job(line: Line, subject_lines: list[Line]) -> bool:
+def _is_line_of_job(line: LogLine, subject_lines: list[LogLine]) -> bool:
     """Whether a line outside `subject_lines` is about the whole job, not an item or its results."""
     return (
         line not in subject_lines
@@ -110,7 +110,7 @@
     )
 
 
-def _surroundings(lines: list[Line], subject_lines: list[Line]) -> list[Line]:
+def _surroundings(lines: list[LogLine], subject_lines: list[LogLine]) -> list[LogLine]:
     start = float(subject_lines[0]["time"]) - SURROUNDING_MARGIN_S
     end = float(subject_lines[-1]["time"]) + SURROUNDING_MARGIN_S
     nodes = {line["node"] for line in subject_lines if "node" in line}
