--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -1,7 +1,7 @@
 """Explain a decision: by its id, a request id, an idempotency key, a sample or a back end.
 
-Any node can be asked, also after the node that decided has died. With `--log`, the log lines are extracted
-from log files instead, of as many machines as are given.
+Any node can be asked, also after the node that decided has died. With `--log`, the log lines about the
+id are extracted from log files instead, of any number of machines.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Ask and print."""
     if arguments.log:
-        return _tell(arguments)
+        return _explain_from_logs(arguments)
     if not arguments.node:
         print("error: name a --node or a --log", file=sys.stderr)
         return exit_codes.INVALID
@@ -50,7 +50,7 @@
     return exit_codes.OK
 
 
-def _tell(arguments: argparse.Namespace) -> int:
+def _explain_from_logs(arguments: argparse.Namespace) -> int:
     """Print the log lines about an id, from log files."""
     log_extract = extract(read_lines(arguments.log), arguments.id)
     if arguments.json:
--- a/tests/cli/test_explain_logs.py
+++ b/tests/cli/test_explain_logs.py
@@ -57,8 +57,8 @@
             sampler.faults.delay = 0.2
         await deployment.ask(front, "/once/x", request_id="late-1")
     code, text = explained("late-1", log_file, "--json")
-    story = json.loads(text)
-    (given_up,) = [line for line in story["subject"] if line["event"] == "request_given_up"]
+    log_extract = json.loads(text)
+    (given_up,) = [line for line in log_extract["subject"] if line["event"] == "request_given_up"]
     assert given_up["seconds"] >= 0.2 and given_up["attempts"][0] in given_up["reasons"][0]
 
 
