--- a/src/crankseam/clocks.py
+++ b/src/crankseam/clocks.py
@@ -16,12 +16,12 @@
 """Systems without `CLOCK_BOOTTIME` fall back to their monotonic clock."""
 
 
-def paced_s() -> float:
+def monotonic_s() -> float:
     """Seconds of the monotonic clock, which stands still while the machine is suspended."""
     return time.monotonic()
 
 
-def promised_s() -> float:
+def boottime_s() -> float:
     """Seconds of a clock that includes time spent suspended and is never set back."""
     return time.clock_gettime(_BOOT_CLOCK)
 
--- a/src/crankseam/cluster/configuration_lease.py
+++ b/src/crankseam/cluster/configuration_lease.py
@@ -1,7 +1,7 @@
 """Configuration lease: decides whether this node may serve now, and under which revision.
 
 Inputs: readings of the region's configuration register, a replicated record that names the newest
-revision. Each reading carries the time at which it was requested (seconds of `clocks.promised_s`)
+revision. Each reading carries the time at which it was requested (seconds of `clocks.boottime_s`)
 and supports the lease for at most one term.
 Rule: a node may take new work for one term, less a margin, after it asked a majority of the
 register's replicas and none of them held a newer revision. It may do so only while it holds the
@@ -39,7 +39,7 @@
     Attributes
     ==========
 
-    asked_at : when the read was requested (seconds of `clocks.promised_s`).
+    asked_at : when the read was requested (seconds of `clocks.boottime_s`).
     """
 
     revision: int
@@ -65,7 +65,7 @@
     """
 
     def __init__(
-        self, term: float, margin: float, clock: Callable[[], float] = clocks.promised_s
+        self, term: float, margin: float, clock: Callable[[], float] = clocks.boottime_s
     ) -> None:
         self._term = term
         self._margin = margin
@@ -85,7 +85,7 @@
         Parameters
         ==========
 
-        asked_at : when this node requested the reading (seconds of `clocks.promised_s`).
+        asked_at : when this node requested the reading (seconds of `clocks.boottime_s`).
         """
         taken = RegisterReading(reading.revision, asked_at - reading.age)
         if taken.supersedes(self._reading):
--- a/src/crankseam/cluster/membership.py
+++ b/src/crankseam/cluster/membership.py
@@ -151,7 +151,7 @@
             known.incarnation,
             known.version if wants_entries else NO_ENTRIES,
         )
-        asked_at = clocks.promised_s()
+        asked_at = clocks.boottime_s()
         try:
             answer = await self._parts.transport.call_for(
                 relay.peer_address, message, HeartbeatAnswer, self._timing.peer_timeout
--- a/src/crankseam/cluster/relay.py
+++ b/src/crankseam/cluster/relay.py
@@ -206,7 +206,7 @@
     async def read_register(self) -> None:
         """Read the register once, for the leases of this node and of the nodes that send heartbeats
         to this relay."""
-        asked_at = clocks.promised_s()
+        asked_at = clocks.boottime_s()
         try:
             revision = await self._parts.register.read_revision()
         except RecordError:
--- a/src/crankseam/cluster/stall_guard.py
+++ b/src/crankseam/cluster/stall_guard.py
@@ -1,7 +1,7 @@
 """Stall guard: decides whether this process may act on its view of the cluster.
 
 Inputs: ticks of the event loop every `TICK_S`, and the time at which a request was sent that other
-nodes answered (seconds of `clocks.promised_s`, which also counts the time for which the machine was
+nodes answered (seconds of `clocks.boottime_s`, which also counts the time for which the machine was
 suspended).
 Rule: a gap of more than `max_tick_gap` between two ticks makes the view stale. The view is fresh
 again once other nodes answered a request that was sent after the gap was detected.
@@ -31,7 +31,7 @@
     max_tick_gap : seconds without a tick above which the event loop counts as stalled.
     """
 
-    def __init__(self, max_tick_gap: float, clock: Callable[[], float] = clocks.promised_s) -> None:
+    def __init__(self, max_tick_gap: float, clock: Callable[[], float] = clocks.boottime_s) -> None:
         self._max_tick_gap = max_tick_gap
         self._clock = clock
         self._last_tick_at = clock()
--- a/src/crankseam/controllers/duty.py
+++ b/src/crankseam/controllers/duty.py
@@ -72,7 +72,7 @@
 
     def is_held(self) -> bool:
         """Whether this node may act for the duty now. Check again directly before each action."""
-        return clocks.promised_s() < self._held_until
+        return clocks.boottime_s() < self._held_until
 
     async def run(self) -> None:
         """Acquire the duty, renew it, and compete again after its loss, until cancelled."""
@@ -90,7 +90,7 @@
         await self._acquire()
 
     async def _renew(self) -> bool:
-        requested_at = clocks.promised_s()
+        requested_at = clocks.boottime_s()
         if await self._key_value.keep_alive(self._lease):
             if self.fence:
                 self._held_until = requested_at + self._term - self._margin
@@ -107,7 +107,7 @@
             if current.value.decode() == f"{self._holder}/{self._lease}" and self._lease:
                 self.fence = current.create_revision
             return
-        requested_at = clocks.promised_s()
+        requested_at = clocks.boottime_s()
         if not self._lease:
             self._lease = await self._key_value.grant_lease(self._term)
         value = f"{self._holder}/{self._lease}".encode()
--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -2,7 +2,7 @@
 
 Inputs: the agreed table of the shares of all nodes (one replicated record for each limit, as old as
 this node's last renewal), the requests in flight on this node, and whether this node had to refuse
-a request because its share was used up. Times are seconds of `clocks.promised_s`, a monotonic clock
+a request because its share was used up. Times are seconds of `clocks.boottime_s`, a monotonic clock
 that also counts the time during which the machine is suspended.
 Rule: at each renewal a node requests a share for its requests in flight plus some headroom, and
 gets as much of it as the shares of other nodes leave free. It may use the share for one term, less
@@ -92,7 +92,7 @@
         total: int,
         term: float,
         margin: float,
-        clock: Callable[[], float] = clocks.promised_s,
+        clock: Callable[[], float] = clocks.boottime_s,
     ) -> None:
         self.holder = holder
         self.total = total
@@ -216,7 +216,7 @@
             await self._renew(self.share_of(limit), limit)
 
     async def _renew(self, share: LimitShare, limit: Limit) -> None:
-        requested_at = clocks.promised_s()
+        requested_at = clocks.boottime_s()
         record_key = self._agent.locate(f"limit/{limit.name}")
 
         def change(standing: bytes | None) -> bytes:
--- a/src/crankseam/coordination/duty.py
+++ b/src/crankseam/coordination/duty.py
@@ -92,7 +92,7 @@
         name: str,
         handover_pause: float,
         processes: Callable[[], list[str]] | None = None,
-        clock: Callable[[], float] = clocks.promised_s,
+        clock: Callable[[], float] = clocks.boottime_s,
     ) -> None:
         self.name = name
         self._clock = clock
--- a/src/crankseam/coordination/feed.py
+++ b/src/crankseam/coordination/feed.py
@@ -83,7 +83,7 @@
         """Seconds since the latest request was sent whose answer confirmed the feed as complete."""
         if self._is_watch_pending:
             self._confirm_by_direct_call()
-        return clocks.promised_s() - self._confirmed_at
+        return clocks.boottime_s() - self._confirmed_at
 
     def _confirm_by_direct_call(self) -> None:
         self._confirmed_at = max(self._confirmed_at, self._answered_at())
--- a/src/crankseam/coordination/follower.py
+++ b/src/crankseam/coordination/follower.py
@@ -154,7 +154,7 @@
                 await asyncio.wait_for(self._restart_requested.wait(), delay_s)
 
     async def _read_all(self) -> None:
-        asked_at = clocks.promised_s()
+        asked_at = clocks.boottime_s()
         whole = await read_whole_prefix(self._store, self.prefix)
         found = {entry.key for entry in whole.entries}
         for key in [key for key in self.entries if key not in found]:
@@ -168,7 +168,7 @@
         self._synchronized.set()
 
     async def _watch_once(self) -> None:
-        asked_at = clocks.promised_s()
+        asked_at = clocks.boottime_s()
         watch = self._store.watch(self.prefix, self.revision, self._wait_s)
         self._watch_task = asyncio.create_task(watch)
         if self.feed is not None:
--- a/src/crankseam/coordination/process_lease.py
+++ b/src/crankseam/coordination/process_lease.py
@@ -62,7 +62,7 @@
     """
 
     def __init__(
-        self, store: CoordinationStore, clock: Callable[[], float] = clocks.promised_s
+        self, store: CoordinationStore, clock: Callable[[], float] = clocks.boottime_s
     ) -> None:
         self._store = store
         self._clock = clock
--- a/src/crankseam/coordination/relay.py
+++ b/src/crankseam/coordination/relay.py
@@ -90,7 +90,7 @@
 
     def is_direct_failing(self) -> bool:
         """Whether the direct calls of this process have been failing for a while."""
-        return self._direct_route.is_failing(clocks.promised_s())
+        return self._direct_route.is_failing(clocks.boottime_s())
 
     async def serve(self, raw: bytes) -> bytes:
         """Make a peer's call by the direct route; refuse it at once while this route fails."""
@@ -102,7 +102,7 @@
         return msgspec.msgpack.encode(answer)
 
     async def _execute(self, call: RelayCall) -> RelayAnswer:
-        if self.is_direct_failing() and not self._direct_route.try_start_probe(clocks.promised_s()):
+        if self.is_direct_failing() and not self._direct_route.try_start_probe(clocks.boottime_s()):
             return await self._ask_peers(call)
         answer = await self._execute_directly(call)
         if self.is_direct_failing() and may_repeat(call, answer):
@@ -111,11 +111,11 @@
         return answer
 
     async def _execute_directly(self, call: RelayCall) -> RelayAnswer:
-        began_at = clocks.promised_s()
+        began_at = clocks.boottime_s()
         answer = await perform(self._direct, call)
         if is_route_failure(answer):
-            self._direct_route.failed(clocks.promised_s())
-        elif self._direct_route.is_failing(clocks.promised_s()) and self._direct_route.answered(
+            self._direct_route.failed(clocks.boottime_s())
+        elif self._direct_route.is_failing(clocks.boottime_s()) and self._direct_route.answered(
             began_at
         ):
             self._direct_restored()
--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -182,11 +182,11 @@
         if not has_readers(len(self._processes())):
             return await self._store.watch(prefix, after_revision, wait_s)
         wait_s = min(wait_s, self._times.watcher_watch_s)
-        requested_at = clocks.promised_s()
+        requested_at = clocks.boottime_s()
         result = await self._store.watch(prefix, after_revision, wait_s)
         if result.changes:
             return result
-        return replace(result, age_s=-min(wait_s, clocks.promised_s() - requested_at))
+        return replace(result, age_s=-min(wait_s, clocks.boottime_s() - requested_at))
 
     async def _ask_peer(self, peer: Peer, question: FeedQuestion) -> FeedAnswer | None:
         """Ask a watcher or mirror; None if it failed or is unable to answer now."""
--- a/src/crankseam/jobs/acceptance.py
+++ b/src/crankseam/jobs/acceptance.py
@@ -85,7 +85,7 @@
         without an owner, and another process claims it.
 
         Args:
-            deadline: time until which the caller waits, as given by `clocks.promised_s`.
+            deadline: time until which the caller waits, as given by `clocks.boottime_s`.
 
         Raises:
             AcceptanceUnknown: the store did not report the outcome, or items have run already, so
@@ -139,7 +139,7 @@
             except KeyValueError as error:
                 unknown = unknown or not isinstance(error, KeyValueUnavailable)
                 delay = backoff.next_delay()
-                if clocks.promised_s() + delay >= deadline:
+                if clocks.boottime_s() + delay >= deadline:
                     if unknown:
                         raise AcceptanceUnknown(job.id) from error
                     raise
--- a/src/crankseam/jobs/claims.py
+++ b/src/crankseam/jobs/claims.py
@@ -234,15 +234,15 @@
         if runner is None:
             return
         listing = runner.listing
-        listing.former_owner_polled_at = clocks.promised_s()
+        listing.former_owner_polled_at = clocks.boottime_s()
         end = listing.former_owner_polled_at + FORMER_OWNER_POLL_DURATION_S
         while (
-            clocks.promised_s() < end
+            clocks.boottime_s() < end
             and self._running.runners.get(job_id) is runner
             and self._running.is_owner(job_id)
         ):
             await asyncio.sleep(FORMER_OWNER_POLL_INTERVAL_S)
-            asked_at = clocks.promised_s()
+            asked_at = clocks.boottime_s()
             try:
                 await self.read_new_chunks(job_id)
                 listing.former_owner_polled_at = asked_at
--- a/src/crankseam/jobs/placement.py
+++ b/src/crankseam/jobs/placement.py
@@ -181,7 +181,7 @@
         return preferred if preferred != self._process else None
 
     async def _hand_over(self, chosen: str, job: JobDefinition, deadline: float) -> Outcome:
-        wait_s = min(ACCEPT_TIMEOUT_S, deadline - clocks.promised_s())
+        wait_s = min(ACCEPT_TIMEOUT_S, deadline - clocks.boottime_s())
         submission = msgspec.msgpack.encode(Submission(job, wait_s))
         try:
             raw = await self._ask_process(chosen, submission, wait_s + ANSWER_SLACK_S)
@@ -207,7 +207,7 @@
         if self._is_overloaded() or not self._jobs.has_room(len(submission.job.items)):
             return Outcome.NOT_ACCEPTED
         try:
-            await self._jobs.submit(submission.job, clocks.promised_s() + submission.wait_s)
+            await self._jobs.submit(submission.job, clocks.boottime_s() + submission.wait_s)
         except JobIdTaken:
             return Outcome.ID_TAKEN
         except KeyValueUnavailable:
--- a/src/crankseam/jobs/result_listing.py
+++ b/src/crankseam/jobs/result_listing.py
@@ -53,7 +53,7 @@
 
     chunks : number of listed chunks.
     results : the listed results, by position.
-    former_owner_polled_at : time (`clocks.promised_s`) of the last poll for results that a former
+    former_owner_polled_at : time (`clocks.boottime_s`) of the last poll for results that a former
         owner listed; None if no listing of a former owner can take effect any more.
     """
 
@@ -78,7 +78,7 @@
         self._schedule = ListingSchedule(job, self._listed_ids, due_at)
         self._results_added = asyncio.Event()
         self._unconfirmed_since: float | None = None
-        """Time (`clocks.promised_s`) of the first write that may have taken effect unnoticed."""
+        """Time (`clocks.boottime_s`) of the first write that may have taken effect unnoticed."""
         self.former_owner_polled_at: float | None = None
 
     # --- state
@@ -105,7 +105,7 @@
         Results that were listed a moment ago are excepted: for up to UNCERTAIN_AFTER_S those whose
         write got no answer, and for up to MAX_CHECK_AGE_S those of a former owner.
         """
-        now = clocks.promised_s()
+        now = clocks.boottime_s()
         if (
             self._unconfirmed_since is not None
             and now - self._unconfirmed_since > UNCERTAIN_AFTER_S
@@ -157,7 +157,7 @@
         while batch:
             number = self.chunks
             if self._unconfirmed_since is None:
-                self._unconfirmed_since = clocks.promised_s()
+                self._unconfirmed_since = clocks.boottime_s()
             part = first_chunk(batch)
             try:
                 await self._repository.append(self._job_id, number, part)
--- a/src/crankseam/jobs/scoring.py
+++ b/src/crankseam/jobs/scoring.py
@@ -52,7 +52,7 @@
 
         Args:
             deadline: time at which the back end is to stop its work, on the clock of
-                `clocks.promised_s`.
+                `clocks.boottime_s`.
 
         Raises:
             AttemptNotRun, AttemptBroken, ScoringFailed
@@ -163,7 +163,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 with self.tracker.sending() as send:
-                    deadline = clocks.promised_s() + timeout_s
+                    deadline = clocks.boottime_s() + timeout_s
                     call = self._client.score(back_end, self._request, deadline)
                     score = await record_send_outcome(self._guard, send, back_end, call)
         except AttemptNotRun as refusal:
--- a/src/crankseam/operator_api.py
+++ b/src/crankseam/operator_api.py
@@ -151,7 +151,7 @@
 
     async def _suspects(self, _request: web.Request) -> web.Response:
         """List the requests under which back ends crashed, without bodies, as none is stored."""
-        now = clocks.paced_s()
+        now = clocks.monotonic_s()
         listed = [
             {
                 "fingerprint": fingerprint,
--- a/src/crankseam/requests/context.py
+++ b/src/crankseam/requests/context.py
@@ -1,7 +1,7 @@
 """The state that the request filters share, the answer that they return, and the filter chain.
 
 The chain is nested: each filter calls the next one. One `RequestContext` exists for each handling
-of a request and is discarded once the answer was sent. Times are seconds of `clocks.promised_s`,
+of a request and is discarded once the answer was sent. Times are seconds of `clocks.boottime_s`,
 which also advances while the machine is suspended.
 """
 
@@ -39,7 +39,7 @@
     """The state of one request in the filter chain.
 
     Attributes:
-        deadline: time (`clocks.promised_s`) at which the caller stops waiting.
+        deadline: time (`clocks.boottime_s`) at which the caller stops waiting.
         dispatched: whether any byte of the request may have reached a back end.
     """
 
@@ -50,7 +50,7 @@
     request_id: str = ""
     idempotency_key: str | None = None
     key_date: int = 0
-    arrived: float = field(default_factory=clocks.promised_s)
+    arrived: float = field(default_factory=clocks.boottime_s)
     deadline: float = 0.0
     snapshot: Snapshot | None = None
     service: Service | None = None
@@ -66,7 +66,7 @@
 
     def remaining(self) -> float:
         """Return the seconds until the caller's deadline."""
-        return self.deadline - clocks.promised_s()
+        return self.deadline - clocks.boottime_s()
 
     def outcome_so_far(self) -> str:
         """Return the outcome to report at this point: `not_run` until a byte may have been sent."""
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -106,7 +106,7 @@
         if context.must_not_repeat and context.idempotency_key is None:
             detail = f"{context.http.method} needs an {IDEMPOTENCY_HEADER}"
             raise BadRequest(detail, OUTCOME_NOT_RUN)
-        if clocks.promised_s() >= context.deadline:
+        if clocks.boottime_s() >= context.deadline:
             detail = "the deadline has passed"
             raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.PAST_DEADLINE_S)
         return await call_next(context)
--- a/src/crankseam/serving/forwarding.py
+++ b/src/crankseam/serving/forwarding.py
@@ -44,7 +44,7 @@
     Attributes
     ==========
 
-    give_up_at : time, in seconds of `clocks.promised_s`, at which the request is given up.
+    give_up_at : time, in seconds of `clocks.boottime_s`, at which the request is given up.
     """
 
     request: InboundRequest
@@ -68,7 +68,7 @@
     ==========
 
     on_started : callbacks invoked once for each request that may have started to run, with its
-        tenant and the time, in seconds of `clocks.promised_s`, at which it was first sent.
+        tenant and the time, in seconds of `clocks.boottime_s`, at which it was first sent.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         history = forwarding.history
         answer: Answer | StreamingAnswer | None = None
         try:
-            loop_deadline = asyncio.get_running_loop().time() + give_up_at - clocks.promised_s()
+            loop_deadline = asyncio.get_running_loop().time() + give_up_at - clocks.boottime_s()
             async with asyncio.timeout_at(loop_deadline):
                 answer = await self._attempt_until_answered(forwarding)
         except TimeoutError:
@@ -127,7 +127,7 @@
     ) -> Answer | StreamingAnswer | None:
         route, history = forwarding.route, forwarding.history
         while retry.has_attempts_left(route, history):
-            if clocks.promised_s() >= forwarding.give_up_at:
+            if clocks.boottime_s() >= forwarding.give_up_at:
                 raise TimeoutError
             if retry.is_rejected_too_often(history) or not forwarding.tracker.may_send():
                 return None
@@ -146,7 +146,7 @@
 
     def _choose(self, forwarding: _Forwarding) -> BackEnd | None:
         history = forwarding.history
-        now = clocks.paced_s()
+        now = clocks.monotonic_s()
         service = self._registry.of_service(forwarding.service)
         candidates = [back_end for back_end in service if self._registry.may_send(back_end, now)]
         chosen = choose_back_end(candidates, self._zone, now, history.tried)
@@ -201,7 +201,7 @@
         history = forwarding.history
         history.record_sent(back_end.record.id)
         back_end.occupy_slot()
-        sent_at, may_have_run = clocks.promised_s(), True
+        sent_at, may_have_run = clocks.boottime_s(), True
         try:
             with forwarding.tracker.sending() as send:
                 answer = await self._send(forwarding, back_end, send)
@@ -295,7 +295,7 @@
             "reasons": history.reasons,
             "ended": tracker.ended,
             "fingerprint": tracker.identity.fingerprint if tracker.ended else "",
-            "seconds": round(clocks.promised_s() - request.received_at, 4),
+            "seconds": round(clocks.boottime_s() - request.received_at, 4),
         },
     )
 
--- a/src/crankseam/serving/messages.py
+++ b/src/crankseam/serving/messages.py
@@ -5,7 +5,7 @@
 `AttemptNotRun` (the back end did not run the request and never will) or `AttemptBroken` (the back
 end may have run the request).
 
-Times are in seconds of the suspend-aware clock, `clocks.promised_s`.
+Times are in seconds of the suspend-aware clock, `clocks.boottime_s`.
 """
 
 from __future__ import annotations
--- a/src/crankseam/serving/retry.py
+++ b/src/crankseam/serving/retry.py
@@ -2,7 +2,7 @@
 
 Inputs: the route (maximum number of attempts; timeout and target latency, in seconds); the deadline
 of the caller; the outcomes of the attempts so far. All belong to the request, so none can be stale.
-Points in time are in seconds of the suspend-aware clock, `clocks.promised_s`.
+Points in time are in seconds of the suspend-aware clock, `clocks.boottime_s`.
 Rule: A repeatable request may run `max_attempts` times, any other request once. A rejected attempt
 did not run and does not count, but the request is given up after `MAX_REJECTIONS` rejections. If
 the first attempt of a repeatable request is slow, a second one is started concurrently at another
--- a/src/crankseam/serving/suspension.py
+++ b/src/crankseam/serving/suspension.py
@@ -1,7 +1,7 @@
 """Detects that the machine was suspended, and refreshes stale state when it resumes.
 
-Inputs: the two clocks of the process, in seconds (`clocks.promised_s` counts the time for which the
-machine is suspended, `clocks.paced_s` does not); the time as of which the configuration was last
+Inputs: the two clocks of the process, in seconds (`clocks.boottime_s` counts the time for which the
+machine is suspended, `clocks.monotonic_s` does not); the time as of which the configuration was last
 known to be the newest.
 Rule: After a suspension the process immediately repeats the requests for everything that it watches
 and renews its lease. A request waits until the configuration is confirmed, for at most
@@ -40,7 +40,7 @@
     Parameters
     ==========
 
-    confirmed_at : returns the time, in seconds of `clocks.promised_s`, as of which the
+    confirmed_at : returns the time, in seconds of `clocks.boottime_s`, as of which the
         configuration is known to be the newest.
 
     Attributes
@@ -57,7 +57,7 @@
 
     @staticmethod
     def _clock_offset_s() -> float:
-        return clocks.promised_s() - clocks.paced_s()
+        return clocks.boottime_s() - clocks.monotonic_s()
 
     def check(self) -> None:
         """Compare the clocks once, and invoke the callbacks if the machine was suspended."""
@@ -65,7 +65,7 @@
         suspended_s, self._offset_s = offset_s - self._offset_s, offset_s
         if suspended_s < MIN_SUSPENSION_S:
             return
-        self._resumed_at = clocks.promised_s()
+        self._resumed_at = clocks.boottime_s()
         log.warning("suspended", extra={"seconds": round(suspended_s, 3)})
         for notify in self.on_resume:
             notify()
@@ -77,7 +77,7 @@
         """
         self.check()
         end = self._resumed_at + CONFIRMATION_TIMEOUT_S
-        while not self._is_confirmed() and clocks.promised_s() < end:  # noqa: ASYNC110 - time-bounded
+        while not self._is_confirmed() and clocks.boottime_s() < end:  # noqa: ASYNC110 - time-bounded
             await asyncio.sleep(CONFIRMATION_POLL_S)
 
     def _is_confirmed(self) -> bool:
--- a/src/crankseam/usage/clock.py
+++ b/src/crankseam/usage/clock.py
@@ -50,7 +50,7 @@
         self,
         window_s: float,
         wall: Callable[[], float] = time.time,
-        steady: Callable[[], float] = clocks.promised_s,
+        steady: Callable[[], float] = clocks.boottime_s,
     ) -> None:
         self.window_s = window_s
         self._wall = wall
--- a/tests/coordination/test_duty.py
+++ b/tests/coordination/test_duty.py
@@ -155,7 +155,7 @@
         self._suspended_at = None
         self._client.connected.set()
 
-    def paced_s(self):
+    def monotonic_s(self):
         now = time.monotonic() if self._suspended_at is None else self._suspended_at
         return now - self._suspended_s
 
@@ -195,7 +195,7 @@
 
 
 async def test_a_holder_that_was_suspended_holds_nothing_when_it_wakes():
-    assert await resume_after_takeover(lambda machine: clocks.promised_s) == (None, False)
+    assert await resume_after_takeover(lambda machine: clocks.boottime_s) == (None, False)
 
 
 async def test_by_a_clock_that_stood_still_it_would_act_beside_its_successor():
@@ -204,5 +204,5 @@
     With a clock that stops while the machine is suspended, the former holder still regards its
     lease as held, and would act at the same time as its successor.
     """
-    fence, held = await resume_after_takeover(lambda machine: machine.paced_s)
+    fence, held = await resume_after_takeover(lambda machine: machine.monotonic_s)
     assert held and fence is not None
--- a/tests/coordination/test_frozen_peers.py
+++ b/tests/coordination/test_frozen_peers.py
@@ -140,7 +140,7 @@
         loop = VirtualClockLoop()
         fleet = Fleet()
         monkeypatch.setattr(time, "monotonic", loop.time)
-        monkeypatch.setattr(clocks, "promised_s", loop.time)
+        monkeypatch.setattr(clocks, "boottime_s", loop.time)
         name_of = lambda one: one if isinstance(one, str) else one.name  # noqa: E731
         monkeypatch.setattr(
             random, "choice", lambda found: min(found, key=lambda o: name_of(o) not in fleet.frozen)
--- a/tests/coordination/test_shared_watch.py
+++ b/tests/coordination/test_shared_watch.py
@@ -238,7 +238,7 @@
 
     peers = [Peer(f"p{number:02d}", f"a{number}", number) for number in range(20)]
     watches = SharedWatches(Store(), lambda: peers, "p00", None, 1.0, lambda: float("-inf"))
-    monkeypatch.setattr(clocks, "promised_s", lambda: clock[0])
+    monkeypatch.setattr(clocks, "boottime_s", lambda: clock[0])
     timeout_s = watch_times.WATCH_FRACTION
     assert (await watches.watch("a/", 6, 5.0)).age_s == pytest.approx(-timeout_s)
     assert (await watches.watch("a/", 0, 5.0)).age_s == 0.0, (
--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -70,7 +70,7 @@
                     pass
         scoring = ScoringRequest("score-1", "score.example", "/score?x=1", b"text")
         with contextlib.suppress(AttemptBroken):
-            deadline = clocks.promised_s() + 5.0
+            deadline = clocks.boottime_s() + 5.0
             await HttpScoringClient(samplers).score(target, scoring, deadline)
         await samplers.close()
     check("wire_samplers.json", recorder.requests)
--- a/tests/serving/test_suspension.py
+++ b/tests/serving/test_suspension.py
@@ -23,7 +23,7 @@
         self.at = float("-inf")
 
     def confirm(self):
-        self.at = clocks.promised_s()
+        self.at = clocks.boottime_s()
 
 
 async def test_a_suspension_is_noticed_once_and_told(suspend):
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -36,11 +36,11 @@
 
 
 def test_one_clock_counts_what_the_other_does_not(suspend):
-    paced, promised = clocks.paced_s(), clocks.promised_s()
-    assert abs(paced - time.monotonic()) < 1.0
+    monotonic, boottime = clocks.monotonic_s(), clocks.boottime_s()
+    assert abs(monotonic - time.monotonic()) < 1.0
     suspend()
-    assert clocks.paced_s() - paced < 1.0
-    assert clocks.promised_s() - promised >= SUSPENDED_S
+    assert clocks.monotonic_s() - monotonic < 1.0
+    assert clocks.boottime_s() - boottime >= SUSPENDED_S
 
 
 async def test_a_process_lease_is_over(suspend):
@@ -58,7 +58,7 @@
     await follower._read_all()
     follower.feed.check_fresh()
     suspend()
-    assert clocks.promised_s() - follower.confirmed_at >= SUSPENDED_S
+    assert clocks.boottime_s() - follower.confirmed_at >= SUSPENDED_S
     with pytest.raises(KeyValueUnavailable):
         follower.feed.check_fresh()
 
@@ -66,7 +66,7 @@
 async def test_an_owner_that_looked_before_is_certain_no_more(suspend):
     maker = make_maker(Dispatcher(make_registry(), "z"), ScriptedSamplers())
     runner = JobRunner(make_job(), [], {}, [], JobRepository(MemoryStore(), "a"), maker)
-    runner.listing.former_owner_polled_at = clocks.promised_s()
+    runner.listing.former_owner_polled_at = clocks.boottime_s()
     assert runner.listing.is_certain()
     suspend()
     assert not runner.listing.is_certain()
@@ -74,7 +74,7 @@
 
 def test_a_configuration_lease_is_over(suspend):
     lease = ConfigurationLease(term=5.0, margin=0.5)
-    lease.confirm(ConfigurationReading(1, 0.0), clocks.promised_s())
+    lease.confirm(ConfigurationReading(1, 0.0), clocks.boottime_s())
     assert lease.remaining() > 0.0
     suspend()
     assert lease.remaining() < 0.0
@@ -84,7 +84,7 @@
     share = LimitShare("node", 10, 5.0, 0.5)
     table = share.with_renewal(ShareTable())
     share.prepare_renewal(table.shares["node"].amount)
-    share.confirm(table, clocks.promised_s())
+    share.confirm(table, clocks.boottime_s())
     assert share.amount() > 0
     suspend()
     assert share.amount() == 0
@@ -97,7 +97,7 @@
     suspend()
     assert not guard.is_fresh()
     guard.tick()
-    guard.record_response(clocks.promised_s())
+    guard.record_response(clocks.boottime_s())
     assert guard.is_fresh()
 
 
