--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -1,7 +1,7 @@
 """Explain a decision: by its id, a request id, an idempotency key, a sample or a back end.
 
-Any node can be asked, also after the node that decided has died. With `--log`, the log lines about the
-id are extracted from log files instead, of any number of machines.
+Any node can be asked, also after the node that decided has died. With `--log`, the log lines about
+the id are extracted from log files instead, of any number of machines.
 """
 
 from __future__ import annotations
--- a/src/crankseam/serving/suspension.py
+++ b/src/crankseam/serving/suspension.py
@@ -1,8 +1,8 @@
 """Detects that the machine was suspended, and refreshes stale state when it resumes.
 
 Inputs: the two clocks of the process, in seconds (`clocks.boottime_s` counts the time for which the
-machine is suspended, `clocks.monotonic_s` does not); the time as of which the configuration was last
-known to be the newest.
+machine is suspended, `clocks.monotonic_s` does not); the time as of which the configuration was
+last known to be the newest.
 Rule: After a suspension the process immediately repeats the requests for everything that it watches
 and renews its lease. A request waits until the configuration is confirmed, for at most
 `CONFIRMATION_TIMEOUT_S`. Leases and ages need no correction, since they include the suspended time.
