--- a/src/crankseam/back_end_probe.py
+++ b/src/crankseam/back_end_probe.py
@@ -54,12 +54,12 @@
         self._clock = clock
         self._cached_reports: dict[str, _CachedReport] = {}
 
-    async def may_get_work(self, back_end: BackEnd) -> bool:
+    async def may_receive_work(self, back_end: BackEnd) -> bool:
         """Whether a back end that routing chose may receive work.
 
         The caller must ask immediately before it sends, so that the answer is current.
         """
-        if self._digest.zone_silence(back_end.zone) <= self._silence_limit_s:
+        if self._digest.seconds_since_zone_update(back_end.zone) <= self._silence_limit_s:
             return True
         report = await self._fetch_cached(back_end.address)
         return report is not None and not report.leaving
--- a/src/crankseam/cli/explain.py
+++ b/src/crankseam/cli/explain.py
@@ -13,7 +13,7 @@
 
 from crankseam.cli import exit_codes
 from crankseam.cli.common import add_json, add_node, ask_nodes, print_json, tls_context
-from crankseam.story import Line, read_lines, tell
+from crankseam.story import LogLine, extract, read_lines
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -52,24 +52,24 @@
 
 def _explain_from_logs(arguments: argparse.Namespace) -> int:
     """Print the log lines about the id, then related events of its nodes and back ends."""
-    story = tell(read_lines(arguments.log), arguments.id)
+    log_extract = extract(read_lines(arguments.log), arguments.id)
     if arguments.json:
-        print_json({"subject": story.subject, "surroundings": story.surroundings})
-        return exit_codes.OK if story.subject else exit_codes.FAILED
-    if not story.subject:
+        print_json({"subject": log_extract.subject, "surroundings": log_extract.surroundings})
+        return exit_codes.OK if log_extract.subject else exit_codes.FAILED
+    if not log_extract.subject:
         print(f"no log line refers to {arguments.id}")
         return exit_codes.FAILED
-    started = float(story.subject[0]["time"])
-    for line in story.subject:
+    started = float(log_extract.subject[0]["time"])
+    for line in log_extract.subject:
         print(_format_line(line, started))
-    if story.surroundings:
+    if log_extract.surroundings:
         print("meanwhile:")
-    for line in story.surroundings:
+    for line in log_extract.surroundings:
         print(_format_line(line, started))
     return exit_codes.OK
 
 
-def _format_line(line: Line, started: float) -> str:
+def _format_line(line: LogLine, started: float) -> str:
     fixed_fields = ("time", "node", "level", "event")
     other_fields = " ".join(
         f"{name}={value}" for name, value in line.items() if name not in fixed_fields
--- a/src/crankseam/cluster/stall_guard.py
+++ b/src/crankseam/cluster/stall_guard.py
@@ -1,7 +1,7 @@
 """Stall guard: decides whether this process may act on its view of the cluster.
 
 Inputs: ticks of the event loop every `TICK_S`, and the time at which a request was sent that other
-nodes answered (seconds of `clocks.promised_s`, which also counts the time for which the machine was
+nodes answered (seconds of `clocks.boottime_s`, which also counts the time for which the machine was
 suspended).
 Rule: a gap of more than `max_tick_gap` between two ticks makes the view stale. The view is fresh
 again once other nodes answered a request that was sent after the gap was detected.
@@ -31,21 +31,21 @@
     max_tick_gap : seconds without a tick above which the event loop counts as stalled.
     """
 
-    def __init__(self, max_tick_gap: float, clock: Callable[[], float] = clocks.promised_s) -> None:
+    def __init__(self, max_tick_gap: float, clock: Callable[[], float] = clocks.boottime_s) -> None:
         self._max_tick_gap = max_tick_gap
         self._clock = clock
-        self._ticked_at = clock()
+        self._last_tick_at = clock()
         self._stalled = False
         self._stall_detected_at = float("-inf")
 
     def tick(self) -> None:
         """Record that the event loop is running; must be called every `TICK_S`."""
         self._detect_stall()
-        self._ticked_at = self._clock()
+        self._last_tick_at = self._clock()
 
     def _detect_stall(self) -> None:
         now = self._clock()
-        if now - self._ticked_at > self._max_tick_gap:
+        if now - self._last_tick_at > self._max_tick_gap:
             self._stalled = True
             self._stall_detected_at = now
 
@@ -57,7 +57,7 @@
         self._detect_stall()
         return not self._stalled
 
-    def view_renewed(self, asked_at: float) -> None:
+    def record_response(self, asked_at: float) -> None:
         """Record that other nodes answered a request that was sent at `asked_at`.
 
         The view becomes fresh only if the request was sent after the stall was detected.
--- a/src/crankseam/controllers/back_end_watch.py
+++ b/src/crankseam/controllers/back_end_watch.py
@@ -31,7 +31,7 @@
 from crankseam.config.kinds import BackEnd
 from crankseam.config.snapshot import Snapshot
 from crankseam.peers.messages import BackEndReport
-from crankseam.records.slots import ranked
+from crankseam.records.slots import sort_by_rank
 
 WATCHERS_PER_BACK_END = 2
 """If one watcher dies, the other has polled the back end within the last watch interval."""
@@ -141,7 +141,7 @@
                 renewed.append(old)
                 continue
             renewed.append(report)
-            self._agent.digest.learn_report(report)
+            self._agent.digest.merge_report(report)
         self._controller_reports[source] = renewed
 
     async def run(self) -> None:
@@ -189,7 +189,7 @@
         candidates = digest.alive_in_zone(target.back_end.zone)
         if not candidates:
             candidates = digest.alive_in_region(target.region)
-        chosen = ranked(f"watch/{target.name}", candidates)[:WATCHERS_PER_BACK_END]
+        chosen = sort_by_rank(f"watch/{target.name}", candidates)[:WATCHERS_PER_BACK_END]
         return [member.name for member in chosen]
 
     async def _watch(self, target: Target) -> None:
@@ -216,7 +216,7 @@
         report = msgspec.structs.replace(report, sequence=self._sequence)
         self._reports[target.name] = report
         self._sent_at[target.name] = time.monotonic()
-        self._agent.digest.learn_report(report)
+        self._agent.digest.merge_report(report)
         if previous is None or previous.leaving != report.leaving or previous.alive != report.alive:
             self._agent.membership.nudge()
 
--- a/src/crankseam/controllers/limit_shares.py
+++ b/src/crankseam/controllers/limit_shares.py
@@ -2,7 +2,7 @@
 
 Inputs: the agreed table of the shares of all nodes (one replicated record for each limit, as old as
 this node's last renewal), the requests in flight on this node, and whether this node had to refuse
-a request because its share was used up. Times are seconds of `clocks.promised_s`, a monotonic clock
+a request because its share was used up. Times are seconds of `clocks.boottime_s`, a monotonic clock
 that also counts the time during which the machine is suspended.
 Rule: at each renewal a node requests a share for its requests in flight plus some headroom, and
 gets as much of it as the shares of other nodes leave free. It may use the share for one term, less
@@ -92,7 +92,7 @@
         total: int,
         term: float,
         margin: float,
-        clock: Callable[[], float] = clocks.promised_s,
+        clock: Callable[[], float] = clocks.boottime_s,
     ) -> None:
         self.holder = holder
         self.total = total
@@ -122,7 +122,7 @@
         """Count one request in flight less."""
         self.in_flight -= 1
 
-    def renew_in(self, table: ShareTable) -> ShareTable:
+    def with_renewal(self, table: ShareTable) -> ShareTable:
         """Return the table with this node's share renewed and expired shares of others removed."""
         others = {h: s for h, s in table.shares.items() if h != self.holder}
         active = {h: s for h, s in others.items() if not self._has_lapsed(h, s)}
@@ -216,12 +216,12 @@
             await self._renew(self.share_of(limit), limit)
 
     async def _renew(self, share: LimitShare, limit: Limit) -> None:
-        requested_at = clocks.promised_s()
+        requested_at = clocks.boottime_s()
         record_key = self._agent.locate(f"limit/{limit.name}")
 
         def change(standing: bytes | None) -> bytes:
             table = msgspec.msgpack.decode(standing, type=ShareTable) if standing else ShareTable()
-            renewed = share.renew_in(table)
+            renewed = share.with_renewal(table)
             share.prepare_renewal(renewed.shares[share.holder].amount)
             return msgspec.msgpack.encode(renewed)
 
--- a/src/crankseam/controllers/replica_placement.py
+++ b/src/crankseam/controllers/replica_placement.py
@@ -79,7 +79,7 @@
                 await self._move(slot.replica_set)
                 return
 
-    def is_needed(self) -> bool:
+    def holds_unsealed_slots(self) -> bool:
         """Whether this node still has an unsealed slot while its region has alive members."""
         if len(self._agent.digest.alive_in_region(self._agent.settings.region)) == 0:
             return False
@@ -141,7 +141,7 @@
             return
         self.moves += 1
         self._misplaced_since.pop(replica_set.slot, None)
-        self._agent.learn_replica_set(moved)
+        self._agent.merge_replica_set(moved)
         self._drop_if_not_member(moved)
         self._agent.membership.nudge()
 
@@ -154,16 +154,16 @@
         newest = self._agent.digest.slots.get(replica_set.slot)
         if newest is None:
             return
-        self._agent.replicas.end_epoch(newest)
+        self._agent.replicas.seal_for_newer_set(newest)
         log.info("slot overtaken", extra={"slot": newest.slot, "epoch": newest.epoch})
 
     def _drop_if_not_member(self, replica_set: ReplicaSet) -> None:
         if self._agent.identity not in replica_set.members:
-            self._agent.replicas.drop(replica_set.slot)
+            self._agent.replicas.drop_sealed_slot(replica_set.slot)
 
     async def _finish_interrupted_moves(self) -> None:
         """Complete moves whose initiator may have died; drop slots that moved to other nodes."""
-        sealed = self._agent.replicas.sealed()
+        sealed = self._agent.replicas.sealed_slots()
         sealed_slots = {old.slot for old, _agreed in sealed}
         self._sealed_since = {s: at for s, at in self._sealed_since.items() if s in sealed_slots}
         for old, agreed in sealed:
@@ -175,5 +175,5 @@
             except RecordError:  # retried after the delay
                 self._sealed_since[old.slot] = time.monotonic()
                 continue
-            self._agent.learn_replica_set(agreed)
+            self._agent.merge_replica_set(agreed)
             self._drop_if_not_member(agreed)
--- a/src/crankseam/controllers/weights.py
+++ b/src/crankseam/controllers/weights.py
@@ -39,8 +39,8 @@
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import CrankseamError
 from crankseam.peers.messages import BackEndReport
-from crankseam.records.slots import ranked
-from crankseam.routing import NOTE_PREFIX
+from crankseam.records.slots import sort_by_rank
+from crankseam.routing import CONTROLLER_REPORT_PREFIX
 from crankseam.weights_cache import cache_source
 
 log = logging.getLogger(__name__)
@@ -50,7 +50,7 @@
 COORDINATOR_CANDIDATES = 2
 """Number of nodes that compete for the duty of a pool. Two tolerate the death of one; more would
 only cost further calls to the key-value service."""
-SAMPLER_SILENCE_TIMEOUT_S = 5.0
+SAMPLER_READ_TIMEOUT_S = 5.0
 """Read timeout for an answer of a sampler: the longest time without data."""
 
 
@@ -69,7 +69,7 @@
         self._policy_name = policy_name
         self._decisions = decisions
         self._watch = watch
-        self._sampler = SamplerClient(session, silence_timeout=SAMPLER_SILENCE_TIMEOUT_S)
+        self._sampler = SamplerClient(session, read_timeout=SAMPLER_READ_TIMEOUT_S)
         self._store = WeightStoreClient(session)
         timing = agent.settings.timing
         self._duty = Duty(
@@ -109,7 +109,7 @@
         if policy is None or self._agent.is_leaving:
             return False
         members = self._agent.digest.alive_in_region(self._pool(policy).home_region)
-        candidates = ranked(f"weights/{policy.name}", members)[:COORDINATOR_CANDIDATES]
+        candidates = sort_by_rank(f"weights/{policy.name}", members)[:COORDINATOR_CANDIDATES]
         return any(member.name == self._agent.settings.name for member in candidates)
 
     def _policy(self) -> WeightPolicy | None:
@@ -211,9 +211,9 @@
         region = self._pool(policy).home_region
         caching = [m for m in self._agent.digest.alive_in_region(region) if m.caches_weights]
         if not caching or failed:
-            return WeightStoreClient.source(policy.store, policy.pool, version)
+            return WeightStoreClient.version_url(policy.store, policy.pool, version)
         same_zone = [member for member in caching if member.zone == sampler.zone]
-        chosen = ranked(f"weights-source/{sampler.name}", same_zone or caching)[0]
+        chosen = sort_by_rank(f"weights-source/{sampler.name}", same_zone or caching)[0]
         return cache_source(chosen.caller_address, policy.pool, version)
 
     async def _load_one(self, policy: WeightPolicy, sampler: BackEnd, version: int) -> None:
@@ -288,7 +288,7 @@
             reports.append(
                 BackEndReport(
                     target=f"{pool.name}/{sampler.name}",
-                    watcher=f"{NOTE_PREFIX}{self._agent.settings.name}",
+                    watcher=f"{CONTROLLER_REPORT_PREFIX}{self._agent.settings.name}",
                     sequence=clocks.wall_ms(),
                     alive=True,
                     leaving=False,
--- a/src/crankseam/jobs/send_outcome.py
+++ b/src/crankseam/jobs/send_outcome.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from crankseam.quarantine.crash_guard import CrashGuard
-from crankseam.quarantine.trial import Send
+from crankseam.quarantine.request_tracker import Send
 from crankseam.serving.back_ends import BackEnd
 from crankseam.serving.messages import AttemptBroken, AttemptNotRun
 
@@ -27,10 +27,10 @@
         answer = await attempt
     except AttemptNotRun as refusal:
         send.was_not_run = True
-        guard.rejected(back_end, refusal)
+        guard.on_rejected(back_end, refusal)
         raise
     except AttemptBroken as failure:
-        send.ended_id = await guard.ended_id(back_end, failure)
+        send.crashed_id = await guard.crashed_id(back_end, failure)
         raise
     send.was_answered = True
     return answer
--- a/src/crankseam/quarantine/model.py
+++ b/src/crankseam/quarantine/model.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class TrialSubject:
+class RequestIdentity:
     """The properties that identify a request, an item or a scoring request.
 
     Attributes
@@ -77,15 +77,15 @@
         return holding.hold_duration_s(self.probes)
 
 
-def name_of_end(back_end: str) -> str:
+def crash_id(back_end: str) -> str:
     """Returns an id for one crash of a back end that restarts under the same name."""
     return f"{back_end}@{time.time():.3f}"
 
 
-def initial_record(subject: TrialSubject, ended: list[str]) -> SuspectRecord:
+def initial_record(identity: RequestIdentity, ended: list[str]) -> SuspectRecord:
     """Returns the first record of a request under which the back ends in `ended` crashed."""
     return SuspectRecord(
-        list(dict.fromkeys(ended)), 0, subject.route, subject.tenant, len(subject.body)
+        list(dict.fromkeys(ended)), 0, identity.route, identity.tenant, len(identity.body)
     )
 
 
--- a/src/crankseam/quarantine/trial.py
+++ b/src/crankseam/quarantine/request_tracker.py
@@ -4,7 +4,7 @@
 one. Relies on `holding` for each decision, and on the `Quarantine` for known suspects and for the
 right to probe.
 Logged as: `request_held`, `item_held`.
-Tested by: tests/quarantine/test_trial.py.
+Tested by: tests/quarantine/test_request_tracker.py.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from crankseam.constants import OUTCOME_NOT_RUN
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
-from crankseam.quarantine.model import TrialSubject
+from crankseam.quarantine.model import RequestIdentity
 from crankseam.quarantine.quarantine import Quarantine
 from crankseam.quarantine.table import Suspect
 
@@ -32,11 +32,11 @@
     was_not_run: bool = False
     was_answered: bool = False
     """The back end answered completely, and the answer is not a failure."""
-    ended_id: str = ""
+    crashed_id: str = ""
     """Id of the back end if it crashed under the request; otherwise empty."""
 
 
-class Trial:
+class RequestTracker:
     """The sends of one caller's request, item or scoring request, and their outcomes.
 
     Parameters
@@ -46,12 +46,12 @@
         is held.
     """
 
-    def __init__(self, quarantine: Quarantine, subject: TrialSubject, crash_limit: int) -> None:
+    def __init__(self, quarantine: Quarantine, identity: RequestIdentity, crash_limit: int) -> None:
         self._quarantine = quarantine
-        self.subject = subject
+        self.identity = identity
         self._crash_limit = crash_limit
         self.ended: list[str] = []
-        """Ids of the back ends that crashed under this trial."""
+        """Ids of the back ends that crashed under this request."""
         self._unreported: list[str] = []
         self._in_flight = 0
         """Number of sends in flight."""
@@ -63,7 +63,7 @@
 
     def _held_suspect(self) -> Suspect | None:
         """Returns the suspect that the request matches, if it is held."""
-        suspect = self._quarantine.find(self.subject)
+        suspect = self._quarantine.find(self.identity)
         if suspect is None or not suspect.record.is_held(self._crash_limit):
             return None
         return suspect
@@ -83,22 +83,22 @@
         log.info(
             "request_held",
             extra={
-                "request": self.subject.id,
-                "fingerprint": self.subject.fingerprint,
+                "request": self.identity.id,
+                "fingerprint": self.identity.fingerprint,
                 "ended": suspect.record.ended,
                 "probes": suspect.record.probes,
                 "seconds": round(retry_after_s, 3),
             },
         )
         ended = ", ".join(suspect.record.ended)
-        detail = f"back ends ended under this request ({self.subject.fingerprint}): {ended}"
+        detail = f"back ends ended under this request ({self.identity.fingerprint}): {ended}"
         raise RequestHeld(detail, OUTCOME_NOT_RUN, retry_after_s)
 
     def is_admitted(self) -> bool:
         """Whether an item or a scoring request is not held, or may be sent as a probe."""
         return self._is_probe or self._held_suspect() is None
 
-    async def wait_admitted(self) -> None:
+    async def wait_until_admitted(self) -> None:
         """Waits until an item or a scoring request is released or this process claims its probe."""
         suspect = self._held_suspect()
         if suspect is None or self._is_probe:
@@ -106,8 +106,8 @@
         log.info(
             "item_held",
             extra={
-                "item": self.subject.id,
-                "fingerprint": self.subject.fingerprint,
+                "item": self.identity.id,
+                "fingerprint": self.identity.fingerprint,
                 "ended": suspect.record.ended,
                 "probes": suspect.record.probes,
             },
@@ -119,7 +119,7 @@
     async def _claim_probe(self, suspect: Suspect) -> bool:
         if suspect.held_for_s() > 0.0:
             return False
-        self._is_probe = await self._quarantine.claim_probe(self.subject)
+        self._is_probe = await self._quarantine.claim_probe(self.identity)
         self._may_have_run = False
         return self._is_probe
 
@@ -131,7 +131,7 @@
         if self._is_probe:
             return not self._in_flight
         ended = set(self.ended)
-        suspect = self._quarantine.find(self.subject)
+        suspect = self._quarantine.find(self.identity)
         if suspect is not None:
             ended.update(suspect.record.ended)
         return holding.may_send_again(len(ended), self._in_flight, self._crash_limit)
@@ -156,34 +156,34 @@
     def _apply_outcome(self, send: Send) -> None:
         if send.was_not_run:
             self._may_have_run = False
-        elif send.ended_id:
+        elif send.crashed_id:
             self._finish_probe()
-            self.ended.append(send.ended_id)
-            self._unreported.append(send.ended_id)
+            self.ended.append(send.crashed_id)
+            self._unreported.append(send.crashed_id)
         elif send.was_answered:
-            self.progressed()
-            if self._quarantine.find(self.subject) is not None:
-                self._quarantine.release_answered(self.subject)
+            self.on_progress()
+            if self._quarantine.find(self.identity) is not None:
+                self._quarantine.release_answered(self.identity)
 
-    def progressed(self) -> None:
-        """Clears the crashes of this trial: a back end made progress, so the request did not cause
-        them. If the request is a probe, it is released."""
+    def on_progress(self) -> None:
+        """Clears the crashes of this request: a back end made progress, so the request did not
+        cause them. If the request is a probe, it is released."""
         if self.ended or self._is_probe:
             self.ended.clear()
             self._unreported.clear()
             if self._is_probe:
                 self._finish_probe()
-                self._quarantine.release_answered(self.subject)
+                self._quarantine.release_answered(self.identity)
 
     def _finish_probe(self) -> None:
         if self._is_probe:
             self._is_probe = False
-            self._quarantine.finish_probe(self.subject)
+            self._quarantine.finish_probe(self.identity)
 
     def report_crashes(self) -> None:
         """Reports the crashes that are not reported yet to all processes."""
         if self._unreported:
-            self._quarantine.report_crashes(self.subject, self._unreported)
+            self._quarantine.report_crashes(self.identity, self._unreported)
             self._unreported = []
 
     def report_if_held(self) -> None:
@@ -192,12 +192,12 @@
             self.report_crashes()
 
     def abandon(self) -> None:
-        """Ends the trial; a probe that no back end has run is returned for others to claim."""
+        """Stops tracking the request; returns a probe that no back end has run."""
         if self._is_probe and not self._may_have_run:
-            self._quarantine.return_probe(self.subject)
+            self._quarantine.return_probe(self.identity)
         self._finish_probe()
 
     def close(self) -> None:
-        """Ends the trial, and reports crashes that no later progress has cleared."""
+        """Stops tracking the request, and reports crashes that no later progress has cleared."""
         self.report_crashes()
         self.abandon()
--- a/src/crankseam/requests/claim.py
+++ b/src/crankseam/requests/claim.py
@@ -24,7 +24,7 @@
     RecordExpired,
     Unavailable,
 )
-from crankseam.records.proposer import OwnedBallot, RecordKey
+from crankseam.records.proposer import RecordKey, ReservedBallot
 from crankseam.requests import retry_after
 from crankseam.requests.claim_rules import (
     apply_claim,
@@ -35,7 +35,7 @@
     problem_for,
     requires_agreement,
 )
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 from crankseam.requests.request_record import (
     RequestRecord,
     RequestState,
@@ -64,12 +64,12 @@
     """A claim of this node.
 
     Attributes:
-        owned: the ballot for the next write; None unless the fast round created the record.
+        reserved_ballot: for the next write; None unless the fast round created the record.
     """
 
     record_key: RecordKey
     record: RequestRecord
-    owned: OwnedBallot | None
+    reserved_ballot: ReservedBallot | None
 
 
 class RequestClaims:
@@ -77,7 +77,7 @@
 
     def __init__(self, agent: ClusterAgent) -> None:
         self._agent = agent
-        self.settling = 0
+        self.pending_commits = 0
         """Number of final states that are still being committed."""
 
     def _locate(self, context: RequestContext) -> RecordKey:
@@ -113,9 +113,9 @@
         record_key = self._locate(context)
         record = self._new_record(context, RequestState.CLAIMED)
         encoded = encode_record(record)
-        owned = await self._agent.proposer.create(record_key, encoded)
-        if owned is not None:
-            return HeldClaim(record_key, record, owned)
+        reserved = await self._agent.proposer.create(record_key, encoded)
+        if reserved is not None:
+            return HeldClaim(record_key, record, reserved)
         value = await self._agent.proposer.change(
             record_key, lambda current: apply_claim(current, record)
         )
@@ -131,19 +131,21 @@
         await asyncio.wait([commit_task], timeout=COMMIT_WAIT_S)
 
     async def _commit_final(self, claim: HeldClaim, final: RequestRecord) -> None:
-        self.settling += 1
+        self.pending_commits += 1
         try:
             if not await self._try_commit(claim, encode_record(final)):
                 # A retry will read `claimed` and be told `unknown`, which is true.
                 log.info("request left as claimed", extra={"key": claim.record_key.key})
         finally:
-            self.settling -= 1
+            self.pending_commits -= 1
 
     async def _try_commit(self, claim: HeldClaim, encoded: bytes) -> bool:
         try:
             async with asyncio.timeout(COMMIT_TIMEOUT_S):
-                if claim.owned is not None:
-                    if await self._agent.proposer.overwrite(claim.record_key, claim.owned, encoded):
+                if claim.reserved_ballot is not None:
+                    if await self._agent.proposer.overwrite(
+                        claim.record_key, claim.reserved_ballot, encoded
+                    ):
                         return True
                 return await self._commit_with_retries(claim, encoded)
         except TimeoutError:
@@ -187,7 +189,7 @@
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Forward the request under a claim, or answer from the existing record."""
         if not context.must_not_repeat:
             return await call_next(context)
@@ -198,7 +200,7 @@
         except RecordError as error:
             # The claim may hold without this node's knowledge. The node does not forward the
             # request; RefusalFilter tries to commit `not_run` before the caller is told so.
-            raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_S)
+            raise Unavailable(str(error), OUTCOME_NOT_RUN, retry_after.RECORD_UNAVAILABLE_S)
         if isinstance(claim, RequestRecord):
             return self._answer_from(claim, context)
         return await self._forward(claim, context, call_next)
@@ -213,7 +215,9 @@
         headers = {**record.headers, REPLAYED_HEADER: "true"}
         return Answer(record.status, headers, record.body)
 
-    async def _forward(self, claim: HeldClaim, context: RequestContext, call_next: Next) -> Answer:
+    async def _forward(
+        self, claim: HeldClaim, context: RequestContext, call_next: NextHandler
+    ) -> Answer:
         try:
             answer = await call_next(context)
         except Problem as problem:
@@ -262,7 +266,7 @@
     def __init__(self, claims: RequestClaims) -> None:
         self._claims = claims
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Return answers unchanged; check the outcome of each problem."""
         try:
             return await call_next(context)
--- a/src/crankseam/requests/forward.py
+++ b/src/crankseam/requests/forward.py
@@ -31,9 +31,9 @@
 )
 from crankseam.decisions import Decision, DecisionLog
 from crankseam.errors import DeadlineExceeded, OutcomeUnknown, Unavailable
-from crankseam.quarantine.model import TrialSubject, name_of_end
+from crankseam.quarantine.model import RequestIdentity, crash_id
 from crankseam.quarantine.quarantine import Quarantine
-from crankseam.quarantine.trial import Send, Trial
+from crankseam.quarantine.request_tracker import RequestTracker, Send
 from crankseam.requests import retry_after
 from crankseam.requests.attempts import (
     has_time_to_forward,
@@ -52,9 +52,9 @@
 """An answer with this status or a higher one means that the back end failed on the request."""
 
 
-def _trial_subject(context: RequestContext) -> TrialSubject:
+def _request_identity(context: RequestContext) -> RequestIdentity:
     http = context.http
-    return TrialSubject(
+    return RequestIdentity(
         context.request_id,
         NO_TENANT,
         context.service_name,
@@ -93,30 +93,32 @@
         """Forward the request; raises Problem if no attempt gave an answer."""
         self._budget.count_attempt()
         service = context.require_service()
-        trial = Trial(self._quarantine, _trial_subject(context), service.crash_limit)
-        await trial.admit()
+        tracker = RequestTracker(self._quarantine, _request_identity(context), service.crash_limit)
+        await tracker.admit()
         try:
-            return await self._attempt_until_answered(context, trial)
+            return await self._attempt_until_answered(context, tracker)
         finally:
-            trial.close()
+            tracker.close()
 
-    async def _attempt_until_answered(self, context: RequestContext, trial: Trial) -> Answer:
+    async def _attempt_until_answered(
+        self, context: RequestContext, tracker: RequestTracker
+    ) -> Answer:
         tried: set[str] = set()
         while True:
             choice = self._choose(context, frozenset(tried))
             if choice.back_end is None:
                 detail = "no back end can take the request"
                 raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.NO_BACK_END_S)
-            if not await self._probe.may_get_work(choice.back_end):
+            if not await self._probe.may_receive_work(choice.back_end):
                 tried.add(choice.back_end.name)
                 continue
             try:
-                with trial.sending() as send:
+                with tracker.sending() as send:
                     return await self._attempt(context, choice.back_end, send)
             except _NotSent:
                 tried.add(choice.back_end.name)
             except OutcomeUnknown:
-                if not may_retry_after_lost_answer(context, trial):
+                if not may_retry_after_lost_answer(context, tracker):
                     raise
                 tried.add(choice.back_end.name)
             if not self._budget.try_spend():
@@ -166,14 +168,14 @@
             return answer
         except aiohttp.ClientConnectorError as error:
             send.was_not_run = True
-            self._router.fail_connection(target)
+            self._router.record_connection_failure(target)
             raise _NotSent from error
         except TimeoutError:
             raise OutcomeUnknown("no answer before the deadline", OUTCOME_UNKNOWN)
         except (aiohttp.ClientError, ConnectionError) as error:
-            self._router.fail_connection(target)
+            self._router.record_connection_failure(target)
             if await refuses_connections(back_end.address):
-                send.ended_id = name_of_end(back_end.name)
+                send.crashed_id = crash_id(back_end.name)
             raise OutcomeUnknown(f"connection broke: {type(error).__name__}", OUTCOME_UNKNOWN)
         finally:
             self._router.finish(target)
@@ -235,7 +237,7 @@
         return Answer(upstream.status, headers, None, response)
 
 
-def trace_first_byte() -> aiohttp.TraceConfig:
+def dispatch_trace_config() -> aiohttp.TraceConfig:
     """Return a trace configuration that marks a request as dispatched before its first byte."""
     trace = aiohttp.TraceConfig()
 
--- a/src/crankseam/requests/identify.py
+++ b/src/crankseam/requests/identify.py
@@ -18,9 +18,9 @@
     REQUEST_ID_HEADER,
 )
 from crankseam.errors import BadRequest, IdentifierExpired, NotFound, Unavailable
-from crankseam.identifiers import date_of
+from crankseam.identifiers import timestamp_ms_of
 from crankseam.requests import retry_after
-from crankseam.requests.context import Answer, Next, RequestContext
+from crankseam.requests.context import Answer, NextHandler, RequestContext
 
 MAX_ID_LENGTH = 200
 """Maximum length of a request id in characters; records and logs contain the id."""
@@ -39,7 +39,7 @@
     def __init__(self, retention_s: float) -> None:
         self._retention_ms = retention_s * 1000
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Set the ids and the body of the context; refuse malformed ids and oversized bodies."""
         headers = context.http.headers
         context.request_id = headers.get(REQUEST_ID_HEADER) or str(uuid.uuid4())
@@ -56,7 +56,7 @@
 
     def _check_key(self, key: str) -> int:
         try:
-            dated = date_of(key)
+            dated = timestamp_ms_of(key)
         except ValueError:
             detail = f"{IDEMPOTENCY_HEADER} must be a UUID of version 7 (RFC 9562)"
             raise BadRequest(detail, OUTCOME_NOT_RUN)
@@ -71,7 +71,7 @@
 class DeadlineFilter:
     """Sets the deadline from the caller's header; `ConfigurationFilter` may shorten it."""
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Set the deadline, relative to the request's arrival."""
         deadline_text = context.http.headers.get(DEADLINE_HEADER)
         allowed_s = DEFAULT_DEADLINE_S
@@ -89,7 +89,7 @@
     def __init__(self, lease: ConfigurationLease) -> None:
         self._lease = lease
 
-    async def __call__(self, context: RequestContext, call_next: Next) -> Answer:
+    async def __call__(self, context: RequestContext, call_next: NextHandler) -> Answer:
         """Look up the service; refuse the request if the configuration lease has expired."""
         context.snapshot = self._lease.snapshot
         service = context.snapshot.services.get(context.service_name)
@@ -100,13 +100,13 @@
             context.deadline = min(context.deadline, context.arrived + service.deadline)
         if not self._lease.is_held():
             detail = "this node cannot confirm its configuration"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.UNCONFIRMED_S)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.CONFIGURATION_UNCONFIRMED_S)
         if service is None:
             raise NotFound(f"no service {context.service_name}", OUTCOME_NOT_RUN)
         if context.must_not_repeat and context.idempotency_key is None:
             detail = f"{context.http.method} needs an {IDEMPOTENCY_HEADER}"
             raise BadRequest(detail, OUTCOME_NOT_RUN)
-        if clocks.promised_s() >= context.deadline:
+        if clocks.boottime_s() >= context.deadline:
             detail = "the deadline has passed"
             raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.PAST_DEADLINE_S)
         return await call_next(context)
--- a/src/crankseam/rollout/service.py
+++ b/src/crankseam/rollout/service.py
@@ -45,7 +45,7 @@
         self._lengths = LengthEstimator()
         self._runs: dict[tuple[str, int], StepRun] = {}
         self._schedulers: dict[str, PoolScheduler] = {}
-        self.streams = 0
+        self.open_streams = 0
         self.draining = False
 
     def add_routes(self, app: web.Application) -> None:
@@ -90,7 +90,7 @@
             raise Unavailable("this node is stopping", OUTCOME_NOT_RUN, retry_after.STOPPING_S)
         if not self._agent.lease.is_held():
             detail = "this node cannot confirm its configuration"
-            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.UNCONFIRMED_S)
+            raise Unavailable(detail, OUTCOME_NOT_RUN, retry_after.CONFIGURATION_UNCONFIRMED_S)
         name = request.match_info["trainer"]
         trainer = self._agent.lease.snapshot.trainers.get(name)
         if trainer is None:
@@ -141,7 +141,9 @@
         except RecordError as error:
             del self._runs[trainer.name, open_step.step]
             await run.stop()
-            raise Unavailable(f"step not recorded: {error}", OUTCOME_UNKNOWN, retry_after.RECORD_S)
+            raise Unavailable(
+                f"step not recorded: {error}", OUTCOME_UNKNOWN, retry_after.RECORD_UNAVAILABLE_S
+            )
         return run
 
     def _scheduler_for(self, pool_name: str) -> PoolScheduler:
@@ -191,7 +193,7 @@
         received = self._read_cursor(request)
         response = web.StreamResponse(headers={"Content-Type": JSON_LINES_CONTENT_TYPE})
         await response.prepare(request)
-        self.streams += 1
+        self.open_streams += 1
         try:
             async for result in run.deliver(received, version):
                 await response.write(msgspec.json.encode(result) + b"\n")
@@ -199,7 +201,7 @@
         except ConnectionError:
             log.info("trainer left its stream", extra={"step": run.open_step.step})
         finally:
-            self.streams -= 1
+            self.open_streams -= 1
         return response
 
     async def handle_acknowledge(self, request: web.Request) -> web.Response:
--- a/src/crankseam/usage/clock.py
+++ b/src/crankseam/usage/clock.py
@@ -52,7 +52,7 @@
         self,
         window_s: float,
         wall: Callable[[], float] = time.time,
-        monotonic: Callable[[], float] = clocks.promised_s,
+        monotonic: Callable[[], float] = clocks.boottime_s,
     ) -> None:
         self.window_s = window_s
         self._wall = wall
--- a/src/crankseam_experiments/latency.py
+++ b/src/crankseam_experiments/latency.py
@@ -15,7 +15,7 @@
 import aiohttp
 
 from crankseam.config.kinds import Service
-from crankseam.identifiers import new_dated_id
+from crankseam.identifiers import new_uuid7
 from crankseam_experiments.experiment_run import ExperimentRun
 from crankseam_experiments.plots import write_page
 from crankseam_experiments.spec import Experiment
@@ -50,7 +50,7 @@
     async def _send(self, path: str) -> float:
         url = self._direct_url if path == "straight" else self._node_url
         method = "POST" if path == "node_claimed" else "GET"
-        headers = {"Idempotency-Key": new_dated_id()}
+        headers = {"Idempotency-Key": new_uuid7()}
         started = time.perf_counter()
         async with self._session.request(method, url, data=BODY, headers=headers) as answer:
             await answer.read()
--- a/tests/quarantine/test_quarantine_machine.py
+++ b/tests/quarantine/test_quarantine_machine.py
@@ -11,15 +11,15 @@
 from crankseam.errors import RequestHeld
 from crankseam.quarantine import holding
 from crankseam_standins.memory_store import MemoryStore
-from tests.quarantine.factories import Process, make_subject
+from tests.quarantine.factories import Process, make_identity
 
 PROCESSES = 3
 SHORT_TIMES = {(holding, "FIRST_HOLD_S"): 0.04, (holding, "PROBE_RETRY_S"): 0.02}
 PROCESS_INDEX = st.integers(0, PROCESSES - 1)
-CULPRITS = [make_subject(body=b"culprit 0"), make_subject(body=b"culprit 1")]
-HEALTHY = [make_subject(body=b"healthy %d" % number) for number in range(4)]
+CULPRITS = [make_identity(body=b"culprit 0"), make_identity(body=b"culprit 1")]
+HEALTHY = [make_identity(body=b"healthy %d" % number) for number in range(4)]
 CRASH_LIMIT = 2
-LONGEST_HOLD_S = 0.04 * holding.HOLD_FACTOR ** (holding.MOST_PROBES - 1)
+LONGEST_HOLD_S = 0.04 * holding.HOLD_FACTOR ** (holding.MAX_PROBES - 1)
 
 
 class Histories(RuleBasedStateMachine):
@@ -33,7 +33,7 @@
         self.loop = asyncio.new_event_loop()
         self.store = MemoryStore()
         self.back_ends = 0
-        self.crash_counts = {subject.fingerprint: 0 for subject in CULPRITS}
+        self.crash_counts = {identity.fingerprint: 0 for identity in CULPRITS}
         self.processes = []
         self._run_async(self._start())
 
@@ -60,62 +60,64 @@
         self.back_ends += 1
         return f"b{self.back_ends}"
 
-    async def _attempt(self, process, subject, neighbours=()):
+    async def _attempt(self, process, identity, neighbours=()):
         """Sends a request that crashes each back end, as the forwarder does.
 
         Each back end also runs the requests in `neighbours`, and its crash counts against them too.
         """
-        trial = self.processes[process].trial(subject)
-        neighbour_trials = [self.processes[process].trial(neighbour) for neighbour in neighbours]
+        tracker = self.processes[process].tracker(identity)
+        neighbour_trackers = [
+            self.processes[process].tracker(neighbour) for neighbour in neighbours
+        ]
         with suppress(RequestHeld):
-            await trial.admit()
-            while trial.may_send():
+            await tracker.admit()
+            while tracker.may_send():
                 ended = self._new_crash_id()
-                self.crash_counts[subject.fingerprint] += 1
-                with trial.sending() as sent:
-                    sent.ended_id = ended
-                for other in neighbour_trials:
+                self.crash_counts[identity.fingerprint] += 1
+                with tracker.sending() as sent:
+                    sent.crashed_id = ended
+                for other in neighbour_trackers:
                     if other.may_send():
                         with other.sending() as sent:
-                            sent.ended_id = ended
-        trial.close()
-        for other in neighbour_trials:
+                            sent.crashed_id = ended
+        tracker.close()
+        for other in neighbour_trackers:
             other.close()
         await asyncio.sleep(0.02)
 
-    async def _serve(self, process, subject):
+    async def _serve(self, process, identity):
         """Sends a healthy request; returns whether it was served."""
-        trial = self.processes[process].trial(subject)
+        tracker = self.processes[process].tracker(identity)
         try:
-            await trial.admit()
-            if not trial.may_send():
+            await tracker.admit()
+            if not tracker.may_send():
                 return False
-            with trial.sending() as sent:
+            with tracker.sending() as sent:
                 sent.was_answered = True
         except RequestHeld:
             return False
         finally:
-            trial.close()
+            tracker.close()
             await asyncio.sleep(0.01)
         return True
 
     @rule(
-        process=PROCESS_INDEX, subject=st.sampled_from(CULPRITS), neighbours=st.sets(PROCESS_INDEX)
+        process=PROCESS_INDEX, identity=st.sampled_from(CULPRITS), neighbours=st.sets(PROCESS_INDEX)
     )
-    def culprit_returns(self, process, subject, neighbours):
-        neighbour_subjects = [HEALTHY[number] for number in neighbours]
-        self._run_async(self._attempt(process, subject, neighbour_subjects))
+    def culprit_returns(self, process, identity, neighbours):
+        neighbour_identities = [HEALTHY[number] for number in neighbours]
+        self._run_async(self._attempt(process, identity, neighbour_identities))
 
     @rule(process=PROCESS_INDEX, number=st.integers(0, len(HEALTHY) - 1))
     def back_end_crashes_under_a_healthy_request(self, process, number):
         async def crash():
-            trial = self.processes[process].trial(HEALTHY[number])
+            tracker = self.processes[process].tracker(HEALTHY[number])
             with suppress(RequestHeld):
-                await trial.admit()
-                if trial.may_send():
-                    with trial.sending() as sent:
-                        sent.ended_id = self._new_crash_id()
-            trial.close()
+                await tracker.admit()
+                if tracker.may_send():
+                    with tracker.sending() as sent:
+                        sent.crashed_id = self._new_crash_id()
+            tracker.close()
             await asyncio.sleep(0.02)
 
         self._run_async(crash())
@@ -145,14 +147,14 @@
 
     @invariant()
     def a_culprit_ends_few(self):
-        max_crashes = CRASH_LIMIT + holding.MOST_PROBES
+        max_crashes = CRASH_LIMIT + holding.MAX_PROBES
         assert all(count <= max_crashes for count in self.crash_counts.values()), self.crash_counts
 
     @invariant()
     def an_unknown_healthy_request_is_served(self):
         if not self.processes:
             return
-        fresh = make_subject(body=b"fresh %d" % self.back_ends)
+        fresh = make_identity(body=b"fresh %d" % self.back_ends)
         assert self._run_async(self._serve(0, fresh))
 
     def check_healthy_requests_are_released(self):
@@ -172,7 +174,7 @@
             await asyncio.sleep(0.5)
             for number in range(len(HEALTHY)):
                 found = self.processes[0].table.find(HEALTHY[number].fingerprint)
-                if found is None or found.record.probes < holding.MOST_PROBES:
+                if found is None or found.record.probes < holding.MAX_PROBES:
                     await until_served(number)
 
         self._run_async(serve_all())
--- a/tests/records/test_proposer.py
+++ b/tests/records/test_proposer.py
@@ -19,10 +19,10 @@
 
 async def test_fast_round_needs_one_round_trip_and_all_replicas(cluster):
     client = cluster.client("p@1", cluster.found(MEMBERS))
-    owned = await client.proposer.create(RECORD, b"one")
-    assert owned is not None
+    reserved = await client.proposer.create(RECORD, b"one")
+    assert reserved is not None
     assert [store.operations for store in cluster.stores.values()] == [1, 1, 1]
-    assert await client.proposer.overwrite(RECORD, owned, b"two")
+    assert await client.proposer.overwrite(RECORD, reserved, b"two")
     assert await client.proposer.read(RECORD) == b"two"
 
 
@@ -43,28 +43,28 @@
 async def test_overtaken_owner_is_refused(cluster):
     replica_set = cluster.found(MEMBERS)
     first, second = cluster.client("p@1", replica_set), cluster.client("q@1", replica_set)
-    owned = await first.proposer.create(RECORD, b"one")
+    reserved = await first.proposer.create(RECORD, b"one")
     await second.proposer.change(RECORD, lambda value: b"changed")
-    assert not await first.proposer.overwrite(RECORD, owned, b"two")
+    assert not await first.proposer.overwrite(RECORD, reserved, b"two")
     assert await second.proposer.read(RECORD) == b"changed"
 
 
 async def test_overwrite_without_a_majority_is_no_error_but_not_done(cluster):
     """NoQuorum used to escape from `overwrite` as status 500 (experiments/faults.toml, seed 3)."""
     client = cluster.client("p@1", cluster.found(MEMBERS))
-    owned = await client.proposer.create(RECORD, b"one")
+    reserved = await client.proposer.create(RECORD, b"one")
     cluster.lose_request = lambda caller, target, message: target != "a@1"
-    assert not await client.proposer.overwrite(RECORD, owned, b"two")
+    assert not await client.proposer.overwrite(RECORD, reserved, b"two")
 
 
 async def test_promises_do_not_outlive_their_epoch(cluster):
     replica_set = cluster.found(MEMBERS)
     first, second = cluster.client("p@1", replica_set), cluster.client("q@1", replica_set)
-    owned = await first.proposer.create(RECORD, b"one")
+    reserved = await first.proposer.create(RECORD, b"one")
     cluster.add("d@1")
     moved = await second.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
-    first.slots.learn(moved)
-    assert not await first.proposer.overwrite(RECORD, owned, b"two")
+    first.slots.update(moved)
+    assert not await first.proposer.overwrite(RECORD, reserved, b"two")
 
 
 async def test_no_majority_is_told_as_such(cluster):
@@ -78,7 +78,7 @@
     client = cluster.client("p@1", cluster.found(MEMBERS))
     await client.proposer.change(RECORD, lambda value: b"x")
     for store in cluster.stores.values():
-        store.forget_before(2000)
+        store.drop_before(2000)
     with pytest.raises(RecordExpired):
         await client.proposer.change(RECORD, lambda value: b"y")
     assert await client.proposer.change(RecordKey(0, "new", 2001), lambda value: b"z") == b"z"
@@ -113,7 +113,7 @@
     with pytest.raises(NoQuorum):
         await client.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
     cluster.lose_request = lambda caller, target, message: False
-    [(old, agreed)] = cluster.stores["b@1"].sealed()
+    [(old, agreed)] = cluster.stores["b@1"].sealed_slots()
     other = cluster.client("q@1", agreed)
     await other.reconfigurer.finish(old, agreed)
     assert await other.proposer.read(RECORD) == b"one"
@@ -125,8 +125,8 @@
     cluster.add("d@1")
     client = cluster.client("p@1", replica_set)
     await client.reconfigurer.move(replica_set, ["a@1", "b@1", "d@1"])
-    cluster.stores["c@1"].drop(0)
-    cluster.stores["c@1"].adopt(replica_set)
+    cluster.stores["c@1"].drop_sealed_slot(0)
+    cluster.stores["c@1"].start_founded_epoch(replica_set)
     assert 0 not in cluster.stores["c@1"].slots
 
 
@@ -176,7 +176,7 @@
     cluster.add("d@1")
     founded_again = ReplicaSet(0, 1001, ["d@1"], floor=5000, founded=True)
     for store in cluster.stores.values():
-        store.adopt(founded_again)
+        store.start_founded_epoch(founded_again)
     with pytest.raises(NoQuorum):
         await client.proposer.change(RECORD, lambda value: b"two")
     later = cluster.client("q@1", founded_again)
--- a/tests/records/test_record_machine.py
+++ b/tests/records/test_record_machine.py
@@ -93,13 +93,13 @@
         self.entries += 1
         entry = self.entries
         try:
-            owned = await client.proposer.create(record, msgspec.msgpack.encode([entry]))
-            if owned is None:
+            reserved = await client.proposer.create(record, msgspec.msgpack.encode([entry]))
+            if reserved is None:
                 return
             self.agreed[record.key].append(entry)
             self.entries += 1
             second = [entry, self.entries]
-            if await client.proposer.overwrite(record, owned, msgspec.msgpack.encode(second)):
+            if await client.proposer.overwrite(record, reserved, msgspec.msgpack.encode(second)):
                 self.agreed[record.key].append(second[1])
         except RecordError:
             return
@@ -191,7 +191,7 @@
         async def operation():
             client = self.random.choice(self.clients)
             newest = max(self._replica_sets_held(), key=lambda s: s.epoch)
-            client.slots.learn(newest)
+            client.slots.update(newest)
             living = [f"{name}@{run}" for name, run in self.incarnations.items()]
             members = sorted(self.random.sample(living, 3))
             try:
@@ -200,7 +200,7 @@
                 return
             for other in self.clients:
                 if self.random.random() < 0.7:
-                    other.slots.learn(moved)
+                    other.slots.update(moved)
 
         self._run(operation())
 
@@ -208,7 +208,7 @@
     def finish_moves(self):
         async def operation():
             for store in list(self.cluster.stores.values()):
-                for old, agreed in store.sealed():
+                for old, agreed in store.sealed_slots():
                     client = self.random.choice(self.clients)
                     try:
                         await client.reconfigurer.finish(old, agreed)
--- a/tests/support/memory_cluster.py
+++ b/tests/support/memory_cluster.py
@@ -36,7 +36,7 @@
     def found(self, members: list[str], floor: int = 0) -> ReplicaSet:
         replica_set = ReplicaSet(SLOT, 1, sorted(members), floor, founded=True)
         for store in self.stores.values():
-            store.adopt(replica_set)
+            store.start_founded_epoch(replica_set)
         return replica_set
 
     async def deliver(self, caller: str, target: str, message: Message) -> AnyMessage:
@@ -62,7 +62,7 @@
         self._cluster = cluster
         self.name = name
         self.slots = SlotTable()
-        self.slots.learn(replica_set)
+        self.slots.update(replica_set)
         self.proposer = Proposer(name, self, self.slots, timeout=1.0)
         self.reconfigurer = Reconfigurer(self, self.proposer, self.slots)
 
