--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from crankseam.jobs.item_retry import DEFAULT_MAX_ATTEMPTS, DEFAULT_MAX_QUEUE_S
+from crankseam.jobs.item_retry import DEFAULT_ITEM_TIMEOUT_S, DEFAULT_MAX_ATTEMPTS
 from crankseam.jobs.item_run import ItemRun, RunComponents, unscored_result
 from crankseam.jobs.item_seconds import ItemSeconds
 from crankseam.jobs.model import ItemDefinition, ItemResult, JobDefinition, PartialText
@@ -34,10 +34,10 @@
         self._scorer = scorer
         self.item_seconds = ItemSeconds()
 
-    def max_queue_s(self, job: JobDefinition) -> float:
+    def item_timeout_s(self, job: JobDefinition) -> float:
         """The `max_queue` of the job's route: seconds after which an item may be given up."""
         route = self._find_route(job)
-        return route.max_queue_s if route is not None else DEFAULT_MAX_QUEUE_S
+        return route.item_timeout_s if route is not None else DEFAULT_ITEM_TIMEOUT_S
 
     def due_s(self, job: JobDefinition) -> float:
         """Seconds after its submission at which a job's results are due; infinite if never."""
--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -5,7 +5,7 @@
 Rule: only a complete response that reports a failure counts against the route's `max_attempts`.
 After a rejection, a broken connection or a time-out the item is tried again, at another sampler if
 one has room. An item is given up after `max_attempts` failures, when a sampler reports that it can
-never be completed, or when it is incomplete GIVE_UP_MARGIN_S after the route's `max_queue_s` has
+never be completed, or when it is incomplete GIVE_UP_MARGIN_S after the route's `item_timeout_s` has
 passed. Scoring requests follow the same rule, limited by the larger `max_attempts` of their own
 route and the job's route.
 Purpose: a sampler that stops answering does not delay a step; the cost is that some runs are
@@ -39,8 +39,8 @@
 BROKEN_RETRY_DELAY_S = 0.02
 """Delay between a broken attempt at an item and the next attempt."""
 GIVE_UP_MARGIN_S = 2.0
-"""Time that must pass after the route's `max_queue_s` before an item is given up."""
-DEFAULT_MAX_QUEUE_S = 60.0
+"""Time that must pass after the route's `item_timeout_s` before an item is given up."""
+DEFAULT_ITEM_TIMEOUT_S = 60.0
 """The `max_queue` of a job whose route is no longer configured."""
 DEFAULT_MAX_ATTEMPTS = 1
 """The `max_attempts` of a job whose route is no longer configured; the route of the scoring request
@@ -89,16 +89,16 @@
     return LOADING_BACKOFF_S if had_free_slots else FULL_BACKOFF_S
 
 
-def give_up_at(started_at: float, max_queue_s: float) -> float:
+def give_up_at(started_at: float, item_timeout_s: float) -> float:
     """Monotonic time at which an incomplete item is given up.
 
     Parameters
     ==========
 
     started_at : monotonic time at which its job started in this process.
-    max_queue_s : the route's `max_queue_s`.
+    item_timeout_s : the route's `item_timeout_s`.
     """
-    return started_at + max_queue_s + GIVE_UP_MARGIN_S
+    return started_at + item_timeout_s + GIVE_UP_MARGIN_S
 
 
 def scoring_timeout_s(route: Route, timeouts: int) -> float:
--- a/src/crankseam/jobs/runner.py
+++ b/src/crankseam/jobs/runner.py
@@ -114,7 +114,7 @@
     async def _make_result(self, index: int, item: ItemDefinition) -> ItemResult:
         rank = item_rank(self.job, self._started_at, item, index)
         is_long = item.length_hint > self._long_hint_threshold
-        end_at = give_up_at(self._started_at, self._maker.max_queue_s(self.job))
+        end_at = give_up_at(self._started_at, self._maker.item_timeout_s(self.job))
         try:
             async with asyncio.timeout(end_at - time.monotonic()):
                 return await self._maker.make(self.job, item, rank, self._texts[item.id], is_long)
--- a/tests/jobs/factories.py
+++ b/tests/jobs/factories.py
@@ -32,7 +32,7 @@
         max_attempts=max_attempts,
         resumable=True,
         single_version=single_version,
-        max_queue_s=60.0,
+        item_timeout_s=60.0,
     )
 
 
