--- a/src/crankseam/jobs/item_maker.py
+++ b/src/crankseam/jobs/item_maker.py
@@ -35,7 +35,7 @@
         self.item_seconds = ItemSeconds()
 
     def item_timeout_s(self, job: JobDefinition) -> float:
-        """The `max_queue` of the job's route: seconds after which an item may be given up."""
+        """The `item_timeout_s` of the job's route: seconds after which an item may be given up."""
         route = self._find_route(job)
         return route.item_timeout_s if route is not None else DEFAULT_ITEM_TIMEOUT_S
 
--- a/src/crankseam/jobs/item_retry.py
+++ b/src/crankseam/jobs/item_retry.py
@@ -41,7 +41,7 @@
 GIVE_UP_MARGIN_S = 2.0
 """Time that must pass after the route's `item_timeout_s` before an item is given up."""
 DEFAULT_ITEM_TIMEOUT_S = 60.0
-"""The `max_queue` of a job whose route is no longer configured."""
+"""The `item_timeout_s` of a job whose route is no longer configured."""
 DEFAULT_MAX_ATTEMPTS = 1
 """The `max_attempts` of a job whose route is no longer configured; the route of the scoring request
 may allow more failures."""
