--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -1,8 +1,8 @@
-"""A monotonic clock that tests move by hand."""
+"""Monotonic clock that a test sets explicitly."""
 
 
 class FakeClock:
-    """Stands in for the `time` module where only `monotonic` is used."""
+    """Replaces the `time` module in code that calls only `time.monotonic`."""
 
     def __init__(self, now=0.0):
         self.now = now
