--- a/tests/support/virtual_clock.py
+++ b/tests/support/virtual_clock.py
@@ -1,18 +1,21 @@
-"""An event loop on a clock of its own: a timer's time comes as soon as nothing else is left to do.
+"""Event loop with a virtual clock, which jumps to the next timer once no callback is ready.
 
-A test that runs on it is the same each time, whatever the machine does meanwhile, and waits for no
-timer in wall time. It serves work within one process only: no sockets, threads or subprocesses.
+Tests on this loop do not depend on the load of the machine and spend no wall-clock time on timers.
+The loop supports work inside one process only: no sockets, threads or subprocesses.
 """
 
 import asyncio
 import selectors
 
-TICK_S = 1e-6
-"""Least time of one round of the loop: a wait that lacks a rounding error must come to its end."""
+MIN_ADVANCE_S = 1e-6
+"""Minimum advance of the clock per loop iteration.
+
+Without a minimum, a timer that rounding leaves just ahead of the clock might never expire.
+"""
 
 
-class _InstantSelector(selectors.SelectSelector):
-    """Waits by moving the loop's clock."""
+class _ClockAdvancingSelector(selectors.SelectSelector):
+    """Advances the virtual clock by the timeout instead of waiting for I/O."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,18 +23,18 @@
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise RuntimeError("nothing is left to run, and no timer is set: the test would hang")
-        self.now_s += max(timeout, TICK_S)
+            raise RuntimeError("no callback is ready and no timer is set: the test would hang")
+        self.now_s += max(timeout, MIN_ADVANCE_S)
         return []
 
 
 class VirtualClockLoop(asyncio.SelectorEventLoop):
-    """Runs callbacks in their order, and timers in the order of their times."""
+    """Runs callbacks in the order they were scheduled, and timers in the order they are due."""
 
     def __init__(self) -> None:
-        self._instant = _InstantSelector()
-        super().__init__(self._instant)
+        self._clock_selector = _ClockAdvancingSelector()
+        super().__init__(self._clock_selector)
 
     def time(self) -> float:
-        """Seconds since the loop was made, by its own clock."""
-        return self._instant.now_s
+        """Virtual seconds since the loop was created."""
+        return self._clock_selector.now_s
