--- a/tests/support/memory_cluster.py
+++ b/tests/support/memory_cluster.py
@@ -1,4 +1,4 @@
-"""Replica stores in one process, with calls that can be lost on purpose."""
+"""Replica stores in one process, with injected message loss and delay."""
 
 import asyncio
 
@@ -17,8 +17,12 @@
 
 
 class MemoryCluster:
-    """Stores by identity. `lose_request` and `lose_answer` decide on the loss of each call, and
-    `delay_s` on how long its request is under way, all from (caller, target, message)."""
+    """Replica stores by identity, and the simulated network between them.
+
+    Tests replace three functions of (caller, target, message): `lose_request` and `lose_answer`
+    return whether the request or the answer of a call is dropped, and `delay_s` returns how many
+    seconds the request takes to arrive.
+    """
 
     def __init__(self, identities: list[str]) -> None:
         self.stores: dict[str, ReplicaStore] = {}
@@ -56,7 +60,7 @@
 
 
 class MemoryClient:
-    """A proposer and a reconfigurer with a slot table of their own."""
+    """A proposer and a reconfigurer that share one slot table and call a `MemoryCluster`."""
 
     def __init__(self, cluster: MemoryCluster, name: str, replica_set: ReplicaSet) -> None:
         self._cluster = cluster
