--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,4 +1,4 @@
-"""Real nodes and agents over loopback in one process, with short times."""
+"""Runs real nodes and agents in one process over loopback, with shortened timing settings."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -39,7 +39,10 @@
 
 
 async def eventually(condition, what: str = "condition", timeout: float = WAIT_SECONDS) -> None:
-    """Wait until `condition()` holds; fail the test if it does not in ample time."""
+    """Wait until `condition()` is true; fail the test if it is still false after `timeout` seconds.
+
+    `condition` may be a function or a coroutine function.
+    """
     try:
         async with asyncio.timeout(timeout):
             while True:
@@ -50,11 +53,11 @@
                     return
                 await asyncio.sleep(0.01)
     except TimeoutError:
-        raise AssertionError(f"never came: {what}") from None
+        raise AssertionError(f"not true within {timeout} s: {what}") from None
 
 
 class MemoryAccount(Account):
-    """An account whose entries a test can look at."""
+    """Account that keeps its entries in memory, where a test can inspect them."""
 
     def __init__(self) -> None:
         super().__init__(None)
@@ -74,7 +77,7 @@
 
 
 class Platform:
-    """The key-value stand-in and app back ends."""
+    """The key-value store and the app back ends, both simulated, on loopback ports."""
 
     def __init__(self) -> None:
         self.key_value = KeyValueStandin()
@@ -112,7 +115,7 @@
             await client.close()
 
     def ran(self) -> list[str]:
-        """Operations that ran, one entry a run."""
+        """Operations that the apps executed, one entry per execution."""
         return [line["operation"] for account in self.accounts.values() for line in account.lines]
 
     async def stop(self) -> None:
@@ -136,7 +139,7 @@
 
 
 class SmallAgent:
-    """A cluster agent with the controllers that records and configuration need."""
+    """A cluster agent with only the controllers that request records and configuration need."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.key_value = KeyValueClient(settings.key_value)
@@ -160,7 +163,7 @@
 
 
 class Cluster:
-    """Real nodes, started one after the other."""
+    """Real nodes; each starts with the addresses of those started before it as seeds."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
