--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -42,7 +42,7 @@
 from crankseam.serving.settings import ProcessSettings
 from crankseam.usage.ledger import UsageLedger
 from crankseam.usage.messages import UsageCounts, UsageReceipt
-from tests.golden.compare import check
+from tests.golden.compare import check_golden
 from tests.golden.samples import struct_sample
 
 MESSAGES = {
@@ -99,7 +99,7 @@
         except msgspec.ValidationError:
             as_json = ""
         found[name] = {"msgpack": msgspec.msgpack.encode(value).hex(), "json": as_json}
-    check("messages.json", found)
+    check_golden("messages.json", found)
 
 
 @pytest.mark.parametrize("name", MESSAGES)
@@ -116,4 +116,4 @@
         encoded = encode_frame(frame)
         assert decode_frame(encoded[4:]) == frame
         found[kind.__struct_config__.tag] = encoded.hex()
-    check("frames.json", found)
+    check_golden("frames.json", found)
--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -17,7 +17,7 @@
 from crankseam.scaling.model import Kind, Order
 from crankseam.serving.back_ends import BackEnd, BackEndRecord
 from crankseam.serving.messages import AttemptBroken
-from tests.golden.compare import check
+from tests.golden.compare import check_golden
 from tests.golden.recorder import RequestRecorder
 
 
@@ -40,7 +40,7 @@
             with contextlib.suppress(KeyValueError, KeyError):
                 await call()
         await store.close()
-    check("wire_store.json", recorder.requests)
+    check_golden("wire_store.json", recorder.requests)
 
 
 def back_end(recorder):
@@ -73,7 +73,7 @@
             deadline = clocks.promised_s() + 5.0
             await ScoringCalls(samplers).score(target, scoring, deadline)
         await samplers.close()
-    check("wire_samplers.json", recorder.requests)
+    check_golden("wire_samplers.json", recorder.requests)
 
 
 async def test_calls_to_the_duty_service():
@@ -84,4 +84,4 @@
         for kind in Kind:
             await caller.order_samplers(Order("svc", "z", kind, 6, "need"), "front-1", 5)
         await caller.close()
-    check("wire_duties.json", recorder.requests)
+    check_golden("wire_duties.json", recorder.requests)
--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -12,7 +12,7 @@
 from crankseam.quarantine.suspect_store import SuspectStore, decode_suspect
 from crankseam.usage.reporter import LEDGER_KEY
 from crankseam_standins.memory_store import MemoryStore
-from tests.golden.compare import FOLDER, check
+from tests.golden.compare import GOLDEN_FOLDER, check_golden
 from tests.golden.samples import struct_sample
 from tests.platform.deployment import Deployment
 from tests.support.waiting import eventually
@@ -54,13 +54,13 @@
 async def test_keys_and_values_of_jobs_and_suspects():
     store = MemoryStore()
     await write_all(store)
-    check("stored_open_job.json", held(store))
+    check_golden("stored_open_job.json", held(store))
     await JobRepository(store, "front-1").end("job1", "t")
-    check("stored_ended_job.json", held(store))
+    check_golden("stored_ended_job.json", held(store))
 
 
 async def test_what_an_older_version_stored_is_read():
-    text = (FOLDER / "stored_open_job.json").read_text(encoding="utf-8")
+    text = (GOLDEN_FOLDER / "stored_open_job.json").read_text(encoding="utf-8")
     entries = json.loads(text)
     store = MemoryStore()
     for key, entry in entries.items():
@@ -96,5 +96,5 @@
 
 
 def test_keys_that_are_built_from_constants():
-    check("key_prefixes.json", {"paces": PACE_PREFIX, "usage": LEDGER_KEY})
+    check_golden("key_prefixes.json", {"paces": PACE_PREFIX, "usage": LEDGER_KEY})
     assert msgspec.msgpack.decode(msgspec.msgpack.encode({"a": 1.5}), type=dict[str, float])
--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -10,7 +10,7 @@
 from crankseam.metrics import NodeMetrics
 from crankseam.serving.log_events import EVENTS
 from crankseam.serving.settings import Listeners, ProcessSettings
-from tests.golden.compare import check
+from tests.golden.compare import check_golden
 
 ROOT = Path(__file__).parents[2]
 
@@ -27,22 +27,22 @@
 def test_help_of_each_verb(monkeypatch):
     monkeypatch.setenv("COLUMNS", "100")
     found = {name: parser.format_help() for name, parser in parsers(_build_parser(_load_verbs()))}
-    check("help.json", found)
+    check_golden("help.json", found)
 
 
 def test_schema_of_the_documents(capsys):
     assert main(["schema"]) == 0
-    check("schema.json", json.loads(capsys.readouterr().out))
+    check_golden("schema.json", json.loads(capsys.readouterr().out))
 
 
 def test_deploy_file_and_settings_template():
     for file in ("deploy/system.toml", "platform/settings.toml.template"):
         text = (ROOT / file).read_text(encoding="utf-8")
-        check(Path(file).name, text)
+        check_golden(Path(file).name, text)
 
 
 def test_log_events_and_their_fields():
-    check("log_events.json", {name: sorted(EVENTS[name].fields) for name in EVENTS})
+    check_golden("log_events.json", {name: sorted(EVENTS[name].fields) for name in EVENTS})
 
 
 def shape_of(page):
@@ -58,8 +58,8 @@
         store_address="127.0.0.1:1",
         listen=Listeners("127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"),
     )
-    check("metrics_front.txt", shape_of(Front(settings).metrics.render()))
+    check_golden("metrics_front.txt", shape_of(Front(settings).metrics.render()))
 
 
 def test_metrics_page_of_a_fresh_node():
-    check("metrics_node.txt", shape_of(NodeMetrics().render()))
+    check_golden("metrics_node.txt", shape_of(NodeMetrics().render()))
