--- a/tests/golden/recorder.py
+++ b/tests/golden/recorder.py
@@ -1,4 +1,4 @@
-"""A server that keeps the bytes of each request and gives a canned answer."""
+"""HTTP server that records each request and sends a fixed response."""
 
 import asyncio
 import contextlib
@@ -6,12 +6,12 @@
 
 
 class RequestRecorder:
-    """`async with` starts it on loopback; `requests` holds what came, in order."""
+    """Listens on loopback inside `async with`; `requests` holds the requests in order of arrival."""
 
     def __init__(self, status="200 OK", headers=(), body=b"{}"):
         self.requests = []
-        lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
-        self._answer = "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+        head_lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
+        self._response = "\r\n".join(head_lines).encode() + b"\r\n\r\n" + body
         self._writers = []
 
     async def __aenter__(self):
@@ -32,12 +32,12 @@
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 length = re.search(r"(?i)content-length: (\d+)", head)
                 body = await reader.readexactly(int(length.group(1)) if length else 0)
-                self.requests.append(self._without_chance(head + body.decode()))
-                writer.write(self._answer)
+                self.requests.append(self._mask_variable_parts(head + body.decode()))
+                writer.write(self._response)
                 await writer.drain()
 
-    def _without_chance(self, text):
-        """Ports, the time that is left and library versions differ from run to run."""
+    def _mask_variable_parts(self, text):
+        """Mask the port, the remaining deadline and the library version, which differ between runs."""
         text = text.replace(str(self.port), "PORT")
         text = re.sub(r"Deadline-Ms: \d+", "Deadline-Ms: TIME", text)
         return re.sub(r"(?i)user-agent: .*", "User-Agent: LIBRARY", text)
