--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -1,4 +1,4 @@
-"""A fixed sample of each message type, made from the types of its fields alone."""
+"""Builds a deterministic sample value of a message type from its field types."""
 
 import dataclasses
 import enum
@@ -11,7 +11,11 @@
 
 
 def sample(kind, seed=1, depth=0):
-    """A value of a type; equal calls give equal values, and neighbouring fields differ."""
+    """Return a sample value of the type `kind`.
+
+    Equal arguments give equal values. Adjacent fields of one type get different values, so that
+    a swap of two fields changes the encoded bytes.
+    """
     origin, args = typing.get_origin(kind), typing.get_args(kind)
     if kind is typing.Any or kind is object:
         return f"any-{seed}"
@@ -22,8 +26,8 @@
     if origin is typing.Literal:
         return args[0]
     if origin in (typing.Union, types.UnionType):
-        given = [arg for arg in args if arg is not type(None)]
-        return sample(given[0], seed, depth)
+        non_none_args = [arg for arg in args if arg is not type(None)]
+        return sample(non_none_args[0], seed, depth)
     if origin in (list, set, frozenset):
         return origin([sample(args[0], seed, depth + 1), sample(args[0], seed + 1, depth + 1)])
     if origin is tuple:
@@ -48,7 +52,7 @@
 
 
 def struct_sample(kind, depth=0):
-    """A struct with every field set, so that no default hides a field."""
+    """Return a struct with every field set explicitly, so that the encoder omits none as default."""
     assert depth < MAX_DEPTH, kind
     fields = msgspec.structs.fields(kind)
     return kind(
