--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -1,4 +1,4 @@
-"""The bytes of every message between our processes and of every stored value."""
+"""Encoded bytes of the messages between processes and of the stored values."""
 
 import typing
 
@@ -91,15 +91,15 @@
 
 
 def test_bytes_of_messages_and_stored_values():
-    found = {}
+    encodings = {}
     for name, kind in MESSAGES.items():
         value = struct_sample(kind)
         try:
-            as_json = msgspec.json.encode(value).decode()
+            json_text = msgspec.json.encode(value).decode()
         except msgspec.ValidationError:
-            as_json = ""
-        found[name] = {"msgpack": msgspec.msgpack.encode(value).hex(), "json": as_json}
-    check_golden("messages.json", found)
+            json_text = ""
+        encodings[name] = {"msgpack": msgspec.msgpack.encode(value).hex(), "json": json_text}
+    check_golden("messages.json", encodings)
 
 
 @pytest.mark.parametrize("name", MESSAGES)
@@ -110,10 +110,10 @@
 
 
 def test_bytes_of_each_frame_between_nodes():
-    found = {}
+    encodings = {}
     for kind in FRAMES:
         frame = Frame(7, False, struct_sample(kind))
         encoded = encode_frame(frame)
         assert decode_frame(encoded[4:]) == frame
-        found[kind.__struct_config__.tag] = encoded.hex()
-    check_golden("frames.json", found)
+        encodings[kind.__struct_config__.tag] = encoded.hex()
+    check_golden("frames.json", encodings)
