--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""The bytes that the adapter sends to the platform's store, its samplers and its duty service."""
+"""Requests that the platform adapter sends to the store, the samplers and the duty service."""
 
 import contextlib
 
@@ -48,8 +48,10 @@
 
 
 def item(**fields):
-    sent = {"Model": "m", "Token-Counts": "10,20", "Tenant": "x"}
-    return ItemDefinition(id="item-1", path="/job/1?q=%20", headers=sent, body=b"body", **fields)
+    item_headers = {"Model": "m", "Token-Counts": "10,20", "Tenant": "x"}
+    return ItemDefinition(
+        id="item-1", path="/job/1?q=%20", headers=item_headers, body=b"body", **fields
+    )
 
 
 async def test_calls_to_samplers():
