--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -1,4 +1,4 @@
-"""Keys and bytes in the coordination store: written as ever, and what stands there is read."""
+"""Keys and bytes in the coordination store: writes match the golden files, which still decode."""
 
 import json
 
@@ -30,30 +30,30 @@
     priority=4,
 )
 RESULT = struct_sample(ItemResult)
-TEXT = struct_sample(PartialText)
+PARTIAL_TEXT = struct_sample(PartialText)
 SUSPECT = struct_sample(SuspectRecord)
 
 
 def held(store):
-    """Everything in the store: value and whether it stands under a lease."""
+    """Return each entry of the store by key: its value in hex and whether it has a lease."""
     return {
         key: {"value": entry.value.hex(), "leased": bool(entry.lease)}
         for key, entry in sorted(store.entries.items())
     }
 
 
-async def write_all(store):
+async def write_job_and_suspect(store):
     jobs = JobRepository(store, "front-1")
     lease, _ = await store.grant_lease(100.0)
     await jobs.create(JOB, lease, 1.5)
     await jobs.append("job1", 0, [RESULT])
-    await jobs.save_progress("job1", {"item": TEXT})
+    await jobs.save_progress("job1", {"item": PARTIAL_TEXT})
     await SuspectStore(store, STATE_PREFIX).add("f1", SUSPECT, 0, [])
 
 
 async def test_keys_and_values_of_jobs_and_suspects():
     store = MemoryStore()
-    await write_all(store)
+    await write_job_and_suspect(store)
     check_golden("stored_open_job.json", held(store))
     await JobRepository(store, "front-1").end("job1", "t")
     check_golden("stored_ended_job.json", held(store))
@@ -68,12 +68,14 @@
         await store.commit(Transaction(puts=[put]))
     loaded = await JobRepository(store, "front-2").load("job1")
     assert loaded.definition == JOB
-    assert loaded.chunks == [[RESULT]] and loaded.kept == {"item": TEXT} and not loaded.ended
+    assert (
+        loaded.chunks == [[RESULT]] and loaded.kept == {"item": PARTIAL_TEXT} and not loaded.ended
+    )
     suspect = store.entries[STATE_PREFIX + "suspect/f1"]
     assert decode_suspect(suspect.value) == SUSPECT
 
 
-KEYS_OF_A_FRONT = [
+FRONT_KEYS = [
     "crankseam/job/job1/head",
     "crankseam/job/job1/part/000",
     "crankseam/job/job1/result/000000",
@@ -90,7 +92,7 @@
         await deployment.submit(front, deadline_ms=5000)
         await deployment.all_results(front)
         await eventually(
-            lambda: set(KEYS_OF_A_FRONT) <= {change.key for change in deployment.store.log},
+            lambda: set(FRONT_KEYS) <= {change.key for change in deployment.store.log},
             "every key is written",
         )
 
