--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -1,4 +1,4 @@
-"""What operators see: files, commands, settings, events and metrics keep their names and forms."""
+"""Operator interfaces: help texts, schemas, settings, log events and metrics stay stable."""
 
 import json
 import re
@@ -15,19 +15,21 @@
 ROOT = Path(__file__).parents[2]
 
 
-def parsers(parser):
-    """A parser and those of its verbs, by their full names."""
+def iter_parsers(parser):
+    """Yield the full name and the parser of a command and, recursively, of its subcommands."""
     yield parser.prog, parser
     for action in parser._actions:
         if hasattr(action, "choices") and isinstance(action.choices, dict):
-            for below in action.choices.values():
-                yield from parsers(below)
+            for subparser in action.choices.values():
+                yield from iter_parsers(subparser)
 
 
 def test_help_of_each_verb(monkeypatch):
     monkeypatch.setenv("COLUMNS", "100")
-    found = {name: parser.format_help() for name, parser in parsers(_build_parser(_load_verbs()))}
-    check_golden("help.json", found)
+    help_texts = {
+        name: parser.format_help() for name, parser in iter_parsers(_build_parser(_load_verbs()))
+    }
+    check_golden("help.json", help_texts)
 
 
 def test_schema_of_the_documents(capsys):
@@ -45,8 +47,8 @@
     check_golden("log_events.json", {name: sorted(EVENTS[name].fields) for name in EVENTS})
 
 
-def shape_of(page):
-    """The page without its figures."""
+def strip_values(page):
+    """Return the metrics page without the sample values."""
     return re.sub(r"(?m)^([^#].*) \S+$", r"\1", page.decode())
 
 
@@ -58,8 +60,8 @@
         store_address="127.0.0.1:1",
         listen=Listeners("127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"),
     )
-    check_golden("metrics_front.txt", shape_of(Front(settings).metrics.render()))
+    check_golden("metrics_front.txt", strip_values(Front(settings).metrics.render()))
 
 
 def test_metrics_page_of_a_fresh_node():
-    check_golden("metrics_node.txt", shape_of(NodeMetrics().render()))
+    check_golden("metrics_node.txt", strip_values(NodeMetrics().render()))
