--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -4,16 +4,21 @@
 
 
 def test_a_port_is_not_one_that_an_outgoing_connection_may_be_given():
-    """Found in CI: a test's port had become the near end of another connection."""
-    first = ports._first_ephemeral()
-    assert all(first - ports.CANDIDATES <= ports.free_port() < first for _ in range(20))
+    """A port in the ephemeral range can become the local port of another connection.
+
+    In CI this happened between the choice of a port and the start of the listener on it.
+    """
+    first_ephemeral = ports._first_ephemeral()
+    assert all(
+        first_ephemeral - ports.CANDIDATES <= ports.free_port() < first_ephemeral for _ in range(20)
+    )
 
 
 def test_a_port_is_given_once_and_only_if_it_is_free(monkeypatch):
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken_port = taken.getsockname()[1]
-        monkeypatch.setattr(ports, "_first_ephemeral", lambda: taken_port + 1)
+    with socket.socket() as bound_socket:
+        bound_socket.bind(("127.0.0.1", 0))
+        bound_port = bound_socket.getsockname()[1]
+        monkeypatch.setattr(ports, "_first_ephemeral", lambda: bound_port + 1)
         monkeypatch.setattr(ports, "CANDIDATES", 4)
-        found = {ports.free_port() for _ in range(2)}
-    assert len(found) == 2 and taken_port not in found
+        chosen_ports = {ports.free_port() for _ in range(2)}
+    assert len(chosen_ports) == 2 and bound_port not in chosen_ports
