--- a/tests/golden/recorder.py
+++ b/tests/golden/recorder.py
@@ -6,7 +6,7 @@
 
 
 class RequestRecorder:
-    """Listens on loopback inside `async with`; `requests` holds the requests in order of arrival."""
+    """Listens on loopback inside `async with`; `requests` lists the requests as they arrived."""
 
     def __init__(self, status="200 OK", headers=(), body=b"{}"):
         self.requests = []
@@ -37,7 +37,7 @@
                 await writer.drain()
 
     def _mask_variable_parts(self, text):
-        """Mask the port, the remaining deadline and the library version, which differ between runs."""
+        """Mask what differs between runs: port, remaining deadline and library version."""
         text = text.replace(str(self.port), "PORT")
         text = re.sub(r"Deadline-Ms: \d+", "Deadline-Ms: TIME", text)
         return re.sub(r"(?i)user-agent: .*", "User-Agent: LIBRARY", text)
