--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -13,8 +13,8 @@
 def sample(kind, seed=1, depth=0):
     """Return a sample value of the type `kind`.
 
-    Equal arguments give equal values. Adjacent fields of one type get different values, so that
-    a swap of two fields changes the encoded bytes.
+    Equal arguments give equal values. Adjacent fields get different numbers, texts and bytes, so
+    that their values can be told apart in the encoding.
     """
     origin, args = typing.get_origin(kind), typing.get_args(kind)
     if kind is typing.Any or kind is object:
@@ -52,7 +52,7 @@
 
 
 def struct_sample(kind, depth=0):
-    """Return a struct with every field set explicitly, so that the encoder omits none as default."""
+    """Return a struct with every field set explicitly, so that no default hides a field."""
     assert depth < MAX_DEPTH, kind
     fields = msgspec.structs.fields(kind)
     return kind(
