--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -48,9 +48,9 @@
 
 
 def item(**fields):
-    item_headers = {"Model": "m", "Token-Counts": "10,20", "Tenant": "x"}
+    sent = {"Model": "m", "Token-Counts": "10,20", "Tenant": "x"}
     return ItemDefinition(
-        id="item-1", path="/job/1?q=%20", headers=item_headers, body=b"body", **fields
+        id="item-1", path="/job/1?q=%20", headers=sent, body=b"body", **fields
     )
 
 
