--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -15,10 +15,10 @@
 
 
 def test_a_port_is_given_once_and_only_if_it_is_free(monkeypatch):
-    with socket.socket() as bound_socket:
-        bound_socket.bind(("127.0.0.1", 0))
-        bound_port = bound_socket.getsockname()[1]
-        monkeypatch.setattr(ports, "_first_ephemeral", lambda: bound_port + 1)
+    with socket.socket() as taken:
+        taken.bind(("127.0.0.1", 0))
+        taken_port = taken.getsockname()[1]
+        monkeypatch.setattr(ports, "_first_ephemeral", lambda: taken_port + 1)
         monkeypatch.setattr(ports, "CANDIDATES", 4)
         chosen_ports = {ports.free_port() for _ in range(2)}
-    assert len(chosen_ports) == 2 and bound_port not in chosen_ports
+    assert len(chosen_ports) == 2 and taken_port not in chosen_ports
