--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -77,7 +77,7 @@
 
 
 class Platform:
-    """The key-value store and the app back ends, both simulated, on loopback ports."""
+    """Stand-ins for the key-value store and the app back ends, on loopback ports."""
 
     def __init__(self) -> None:
         self.key_value = KeyValueStandin()
