--- a/tests/golden/test_platform_wire.py
+++ b/tests/golden/test_platform_wire.py
@@ -49,9 +49,7 @@
 
 def item(**fields):
     sent = {"Model": "m", "Token-Counts": "10,20", "Tenant": "x"}
-    return ItemDefinition(
-        id="item-1", path="/job/1?q=%20", headers=sent, body=b"body", **fields
-    )
+    return ItemDefinition(id="item-1", path="/job/1?q=%20", headers=sent, body=b"body", **fields)
 
 
 async def test_calls_to_samplers():
