--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -68,6 +68,7 @@
 
 
 async def serve(app: web.Application) -> tuple[web.AppRunner, str]:
+    """Serve `app` on a free loopback port; return its runner and its address."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -108,6 +109,7 @@
         return [service, limit]
 
     async def apply(self, documents: list) -> Pointer:
+        """Apply the configuration `documents`; return the new configuration pointer."""
         client = KeyValueClient([self.key_value_address])
         try:
             return await apply_plan(client, await make_plan(client, documents), "test")
@@ -147,6 +149,7 @@
         self.transport = PeerTransport(settings.name, 0)
 
     async def start(self) -> str:
+        """Start the agent and its controllers; return the peer address."""
         await self.agent.start(self.transport, "")
         self.placement = ReplicaPlacementController(self.agent)
         for controller in (
@@ -179,6 +182,7 @@
         return node
 
     async def kill(self, index: int) -> None:
+        """Close the node without draining it first."""
         await self.nodes.pop(index).close()
 
     def url(self, index: int) -> str:
@@ -196,6 +200,7 @@
 
 @asynccontextmanager
 async def running_cluster(nodes: int = 3, apps: int = 3):
+    """Start a platform and a configured cluster; yield the cluster once every node is ready."""
     platform = Platform()
     await platform.start(apps)
     cluster = Cluster(platform)
