--- a/tests/support/memory_cluster.py
+++ b/tests/support/memory_cluster.py
@@ -38,6 +38,7 @@
         return store
 
     def found(self, members: list[str], floor: int = 0) -> ReplicaSet:
+        """Create the first replica set of the slot, and have every store adopt it."""
         replica_set = ReplicaSet(SLOT, 1, sorted(members), floor, founded=True)
         for store in self.stores.values():
             store.adopt(replica_set)
