--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -4,9 +4,14 @@
 
 
 def test_a_port_is_not_one_that_an_outgoing_connection_may_be_given():
-    """Found in CI: a test's port had become the near end of another connection."""
-    first = ports._first_ephemeral()
-    assert all(first - ports.CANDIDATES <= ports.free_port() < first for _ in range(20))
+    """A port in the ephemeral range can become the local port of another connection.
+
+    In CI this happened between the choice of a port and the start of the listener on it.
+    """
+    first_ephemeral = ports._first_ephemeral()
+    assert all(
+        first_ephemeral - ports.CANDIDATES <= ports.free_port() < first_ephemeral for _ in range(20)
+    )
 
 
 def test_a_port_is_given_once_and_only_if_it_is_free(monkeypatch):
@@ -15,5 +20,5 @@
         taken_port = taken.getsockname()[1]
         monkeypatch.setattr(ports, "_first_ephemeral", lambda: taken_port + 1)
         monkeypatch.setattr(ports, "CANDIDATES", 4)
-        found = {ports.free_port() for _ in range(2)}
-    assert len(found) == 2 and taken_port not in found
+        chosen_ports = {ports.free_port() for _ in range(2)}
+    assert len(chosen_ports) == 2 and taken_port not in chosen_ports
