--- a/src/crankseam_standins/__init__.py
+++ b/src/crankseam_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, with faults that can be asked for."""
+"""Emulators of the external systems that Crankseam depends on, with fault injection."""
