--- a/src/crankseam_standins/account.py
+++ b/src/crankseam_standins/account.py
@@ -1,7 +1,7 @@
-"""A stand-in's own account of what happened, kept as JSON lines that outlive a crash.
+"""Event log of a stand-in: a file of JSON lines that survives a crash of the process.
 
-The auditor reads nothing else of what stand-ins saw. Each entry is written unbuffered as it
-happens.
+Each entry is written without buffering when its event happens. The auditor has no other record of
+what the stand-ins observed.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 
 class Account:
-    """Appends entries to a file (if one is given) as they happen."""
+    """Appends each entry to a file without buffering; without a path, discards the entries."""
 
     def __init__(self, path: Path | None) -> None:
         self._file = path.open("ab", buffering=0) if path is not None else None
 
     def append(self, entry: dict[str, Any]) -> None:
-        """Write one entry down at once."""
+        """Write one entry to the file immediately, as one line of JSON."""
         if self._file is not None:
             self._file.write(msgspec.json.encode(entry) + b"\n")
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file, if there is one."""
         if self._file is not None:
             self._file.close()
 
 
 def read_account(path: Path) -> list[dict[str, Any]]:
-    """All whole entries of an account; a line cut short by a crash is passed over."""
+    """Return the entries of an event log, skipping lines that a crash left incomplete."""
     if not path.exists():
         return []
     entries = []
