--- a/src/crankseam_standins/caller.py
+++ b/src/crankseam_standins/caller.py
@@ -1,8 +1,9 @@
-"""Stand-in of app callers: sends requests, retries as it is told, writes down what it was told.
+"""Stand-in for application callers: sends requests, retries them and logs each response.
 
-Callers of `crankseam node`: one key for each operation, problem documents, deadlines. The soak's
-callers (`crankseam_platform_standins.soak.load`) speak the platform's wire and bring jobs; the two
-share only that they draw a process and wait.
+These callers use the HTTP interface of `crankseam node`: one idempotency key for each operation,
+problem documents and deadlines. The callers of the soak test
+(`crankseam_platform_standins.soak.load`) use the platform's protocol and submit jobs. The two
+have in common only that they choose a process at random and wait.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from crankseam_standins.app import expected_answer
 
 MAX_ATTEMPTS = 6
-"""A caller gives an operation up after so many."""
+"""Attempts after which a caller abandons an operation."""
 MAX_WAIT_S = 3.0
-"""A longer `Retry-After` is cut to this, so that a run ends."""
+"""Upper limit on the delay between attempts, so that a long `Retry-After` cannot stall a run."""
 
 
 @dataclass(frozen=True)
 class CallerPlan:
-    """What the callers do: `rate` requests a second for `seconds`."""
+    """Load that the callers generate: on average `rate` requests per second for `seconds`."""
 
     nodes: list[str]
     service: str
@@ -41,7 +42,7 @@
 
 @dataclass
 class CallerReport:
-    """What became of the requests."""
+    """Number of requests sent, their outcomes and their latencies in seconds."""
 
     sent: int = 0
     outcomes: dict[str, int] = field(default_factory=dict)
@@ -49,7 +50,7 @@
 
 
 class CallerStandin:
-    """Many callers in one process."""
+    """Generates the load of many concurrent callers in one process."""
 
     def __init__(self, plan: CallerPlan, account: Account) -> None:
         self._plan = plan
@@ -58,18 +59,18 @@
         self.report = CallerReport()
 
     async def run(self) -> CallerReport:
-        """Send everything, wait for all answers."""
+        """Send all requests of the plan and wait until each has its final outcome."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as self._session:
             async with asyncio.TaskGroup() as group:
                 end = time.monotonic() + self._plan.seconds
                 while time.monotonic() < end:
-                    group.create_task(self._request())
+                    group.create_task(self._run_operation())
                     await asyncio.sleep(self._random.expovariate(self._plan.rate))
         return self.report
 
-    async def _request(self) -> None:
-        """One operation, through to an answer, `not_run` at the last, or `unknown`."""
+    async def _run_operation(self) -> None:
+        """Run one operation until it has a final outcome, in at most `MAX_ATTEMPTS` attempts."""
         self.report.sent += 1
         started = time.monotonic()
         is_read = self._random.random() < self._plan.read_share
@@ -78,8 +79,8 @@
         outcome = "not_run"
         for _attempt in range(MAX_ATTEMPTS):
             outcome, wait = await self._attempt(operation, body, is_read)
-            # A read may be tried again whatever became of it. A booking is tried again too, with
-            # the same key: that is what the key is for.
+            # A read can be retried after any outcome. A booking is retried too: the idempotency
+            # key, which stays the same, prevents it from running twice.
             if outcome in ("answered", "wrong_answer", "expired"):
                 break
             await asyncio.sleep(min(MAX_WAIT_S, wait))
@@ -90,7 +91,7 @@
         )
 
     async def _attempt(self, operation: str, body: bytes, is_read: bool) -> tuple[str, float]:
-        """One HTTP request; returns the outcome, and how long to wait before another."""
+        """Send one HTTP request; return the outcome and the delay in seconds before a retry."""
         node = self._random.choice(self._plan.nodes)
         request_id = str(uuid.uuid4())
         headers = {
@@ -107,7 +108,7 @@
                 method, url, data=body, headers=headers, timeout=timeout
             ) as answer:
                 content = await answer.read()
-                outcome, wait = self._judge(answer, content, operation, body)
+                outcome, wait = self._classify_response(answer, content, operation, body)
         except aiohttp.ClientConnectorError:
             outcome, wait = "no_connection", 0.1
         except (aiohttp.ClientError, TimeoutError, ConnectionError):
@@ -127,12 +128,12 @@
         return outcome, wait
 
     @staticmethod
-    def _judge(
+    def _classify_response(
         answer: aiohttp.ClientResponse, content: bytes, operation: str, body: bytes
     ) -> tuple[str, float]:
         if answer.content_type != "application/problem+json":
-            right = content.decode(errors="replace") == expected_answer(operation, body)
-            return ("answered" if right else "wrong_answer"), 0.0
+            matches = content.decode(errors="replace") == expected_answer(operation, body)
+            return ("answered" if matches else "wrong_answer"), 0.0
         problem = msgspec.json.decode(content)
         wait = float(answer.headers.get("Retry-After", 0.5))
         if answer.status == 410:
