--- a/src/crankseam_standins/app.py
+++ b/src/crankseam_standins/app.py
@@ -1,7 +1,7 @@
-"""Stand-in of an app back end: books slots or takes orders, and keeps account of what ran.
+"""Stand-in for an application back end, which logs every operation that it runs.
 
-Its answer can be worked out from the request (`expected_answer`), so a caller can tell whether it
-got its own.
+The response is a function of the request (`expected_answer`), so that a caller can detect a
+response that belongs to another request.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from crankseam_standins.faults import Faults
 
 PADDING_BYTES = 200
-"""Makes an answer some 300 bytes long, the size that docs/CAPACITY.md reckons with."""
+"""Pads a response to about 300 bytes, the size that docs/CAPACITY.md assumes."""
 
 
 def expected_answer(operation: str, body: bytes) -> str:
-    """The answer that belongs to a request: callers can check that they got their own."""
+    """Return the response text to a request, which callers compare with the text they received."""
     digest = hashlib.sha256(operation.encode() + body).hexdigest()
     return f"{operation}:{digest}" + "." * PADDING_BYTES
 
 
 class AppStandin:
-    """Answers after a random work time; each operation that runs is written down."""
+    """Responds after a random work time and logs each operation before it runs."""
 
     def __init__(self, name: str, work_seconds: float, account: Account) -> None:
         self.name = name
@@ -38,11 +38,11 @@
         self._running = 0
         self._account = account
         self.ended_by = b""
-        """If set, a body that holds this ends the back end when it begins to run it."""
+        """If set, a request whose body contains these bytes ends the back end when it starts."""
         self.on_end: Callable[[], None] = lambda: None
 
     def application(self) -> web.Application:
-        """The HTTP application."""
+        """Return the HTTP application with all routes."""
         app = web.Application(client_max_size=16 * 1024 * 1024)
         self.faults.add_routes(app)
         app.router.add_get("/metrics", self._metrics)
@@ -70,15 +70,15 @@
                 await asyncio.sleep(self._random.expovariate(1 / self._work_seconds))
         finally:
             self._running -= 1
-        if self.faults.take_lost_answer() and request.transport is not None:
+        if self.faults.consume_lost_answer() and request.transport is not None:
             request.transport.abort()
         return web.Response(text=expected_answer(operation, body))
 
     async def _metrics(self, _request: web.Request) -> web.Response:
-        lines = {
+        gauges = {
             "app:num_requests_running": self._running,
             "app:num_requests_waiting": 0,
             "app:leaving": int(self.faults.leaving),
         }
-        text = "".join(f"# TYPE {k} gauge\n{k} {v}\n" for k, v in lines.items())
+        text = "".join(f"# TYPE {k} gauge\n{k} {v}\n" for k, v in gauges.items())
         return web.Response(text=text)
--- a/src/crankseam_standins/faults.py
+++ b/src/crankseam_standins/faults.py
@@ -1,7 +1,8 @@
-"""Faults that a stand-in can be asked for over `POST /_faults`.
+"""Fault injection for a stand-in, controlled through `POST /_faults`.
 
-Owns the faults in force at one stand-in. Those that concern every request (down, slow, rate) are
-applied before its handlers; the others are read by the stand-in where they strike.
+Holds the faults that are active in one stand-in. Faults that affect every request (outage, delay,
+rate limit) are applied by a middleware; the stand-in itself checks for the others where they
+apply.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 
 
 class FaultOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """What to do wrong. Fields left out stay as they are."""
+    """A request to change the active faults. Omitted fields leave their faults unchanged."""
 
     down_seconds: float | None = None
-    """Answer nothing but 503 for so long."""
+    """Seconds during which every request gets status 503."""
     delay: float | None = None
-    """Seconds added to each answer."""
+    """Seconds by which each response is delayed."""
     lose_answers: int | None = None
-    """Carry out this many coming writes, and break the connection instead of answering."""
+    """Number of next writes that are applied but whose connection is closed without a response."""
     rate: float | None = None
-    """Requests a second; those above get 429."""
+    """Requests allowed per second; excess requests get status 429. 0 means no limit."""
     fail_loads: int | None = None
-    """Samplers: fail this many coming weight loads."""
+    """Samplers: number of next weight loads that fail."""
     leaving: bool | None = None
-    """Samplers and app servers: say that they are leaving."""
+    """Samplers and app servers: whether they report that they are leaving."""
     lapse_leases: bool | None = None
-    """Key-value service: let every lease lapse now."""
+    """Key-value service: expire all leases immediately."""
     break_streams: int | None = None
-    """Samplers: break this many running streams."""
+    """Samplers: number of running streams to break off immediately."""
 
 
 class Faults:
-    """Current faults of one stand-in; `middleware` applies those that concern every request."""
+    """Active faults of one stand-in; the middleware applies those that affect every request."""
 
     def __init__(self) -> None:
         self.down_until = 0.0
@@ -54,15 +55,15 @@
         self._window_count = 0
 
     def is_down(self) -> bool:
-        """Whether the stand-in plays dead now."""
+        """Return whether a simulated outage is in progress."""
         return time.monotonic() < self.down_until
 
     def add_routes(self, app: web.Application) -> None:
-        """Register the control path and the middleware."""
-        app.router.add_post("/_faults", self._handle_order)
+        """Register the route that sets faults and the middleware that applies them."""
+        app.router.add_post("/_faults", self._handle_fault_order)
         app.middlewares.append(self._middleware())
 
-    async def _handle_order(self, request: web.Request) -> web.Response:
+    async def _handle_fault_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=FaultOrder)
         if order.down_seconds is not None:
             self.down_until = time.monotonic() + order.down_seconds
@@ -73,7 +74,7 @@
         self.on_order(order)
         return web.json_response({})
 
-    def _over_rate(self) -> bool:
+    def _exceeds_rate(self) -> bool:
         if not self.rate:
             return False
         now = time.monotonic()
@@ -82,8 +83,8 @@
         self._window_count += 1
         return self._window_count > self.rate
 
-    def take_lost_answer(self) -> bool:
-        """Whether the answer to the write just made shall be lost."""
+    def consume_lost_answer(self) -> bool:
+        """Return whether to drop the response to this write, and decrement `lose_answers` if so."""
         if self.lose_answers <= 0:
             return False
         self.lose_answers -= 1
@@ -96,7 +97,7 @@
                 return await handler(request)
             if self.is_down():
                 return web.Response(status=503)
-            if self._over_rate():
+            if self._exceeds_rate():
                 return web.Response(status=429, headers={"Retry-After": "1"})
             if self.delay:
                 await asyncio.sleep(self.delay)
@@ -106,7 +107,7 @@
 
 
 def lose_answer(request: web.Request) -> web.Response:
-    """Break the connection instead of answering."""
+    """Close the connection without sending a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/src/crankseam_standins/key_value.py
+++ b/src/crankseam_standins/key_value.py
@@ -1,8 +1,9 @@
-"""Stand-in of the key-value service: the part of the etcd v3 HTTP/JSON gateway that is used.
+"""Stand-in for the key-value service: the subset of the etcd v3 HTTP/JSON gateway that is used.
 
-Keys, revisions, leases and watches as that gateway shows them, each key with its counts. The
-in-memory store of the platform side (`memory_store`) has pages, compacted history and writes that
-take effect late, which etcd's clients here do not ask for; the two are kept apart on purpose.
+Implements keys, revisions, leases and watches as the gateway exposes them, with the create and
+modification revisions and the version of each key. The in-memory store for the platform
+(`memory_store`) is deliberately separate: it adds pagination, compacted history and writes with
+delayed effect, which the etcd clients of this project do not use.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 from crankseam_standins.faults import FaultOrder, Faults, lose_answer
 
-LEASE_SWEEP_S = 0.05
-"""A lease that ran out is noticed within this."""
+LEASE_SWEEP_INTERVAL_S = 0.05
+"""Interval between checks for expired leases, and so the longest delay of an expiry."""
 
 
 @dataclass
 class StoredKey:
-    """One key with its revisions."""
+    """Value of one key with its revisions, its version and its lease."""
 
     value: str
     create_revision: int
@@ -36,7 +37,7 @@
 
 @dataclass
 class Lease:
-    """A lease and the keys bound to it."""
+    """A lease and the keys that are deleted with it."""
 
     seconds: float
     expires: float
@@ -44,20 +45,20 @@
 
 
 class KeyValueStandin:
-    """Keys in memory, one revision counter, leases that lapse, watches that stream."""
+    """Keeps keys in memory under one revision counter, expires leases and streams watch events."""
 
     def __init__(self) -> None:
         self.faults = Faults()
-        self.faults.on_order = self._on_order
+        self.faults.on_order = self._on_fault_order
         self._keys: dict[str, StoredKey] = {}
         self._revision = 1
         self._leases: dict[int, Lease] = {}
         self._lease_ids = itertools.count(1001)
         self._watchers: set[tuple[str, asyncio.Queue]] = set()
-        self._sweeper: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
 
     def application(self) -> web.Application:
-        """The HTTP application."""
+        """Return the HTTP application with all routes."""
         app = web.Application()
         self.faults.add_routes(app)
         app.router.add_post("/v3/kv/range", self._range)
@@ -66,27 +67,27 @@
         app.router.add_post("/v3/lease/keepalive", self._keep_alive)
         app.router.add_post("/v3/lease/revoke", self._revoke)
         app.router.add_post("/v3/watch", self._watch)
-        app.router.add_get("/_account", self._account)
-        app.on_startup.append(self._start_sweeper)
-        app.on_cleanup.append(self._stop_sweeper)
+        app.router.add_get("/_account", self._report_state)
+        app.on_startup.append(self._start_sweep_task)
+        app.on_cleanup.append(self._stop_sweep_task)
         return app
 
-    async def _start_sweeper(self, _app: web.Application) -> None:
-        self._sweeper = asyncio.create_task(self._sweep())
+    async def _start_sweep_task(self, _app: web.Application) -> None:
+        self._sweep_task = asyncio.create_task(self._remove_expired_leases())
 
-    async def _stop_sweeper(self, _app: web.Application) -> None:
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+    async def _stop_sweep_task(self, _app: web.Application) -> None:
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
 
-    async def _sweep(self) -> None:
+    async def _remove_expired_leases(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_SWEEP_S)
+            await asyncio.sleep(LEASE_SWEEP_INTERVAL_S)
             now = time.monotonic()
             for identifier, lease in list(self._leases.items()):
                 if lease.expires < now:
                     self._end_lease(identifier)
 
-    def _on_order(self, order: FaultOrder) -> None:
+    def _on_fault_order(self, order: FaultOrder) -> None:
         if order.lapse_leases:
             for identifier in list(self._leases):
                 self._end_lease(identifier)
@@ -131,13 +132,13 @@
 
     async def _range(self, request: web.Request) -> web.Response:
         body = await request.json()
-        keys = self._select(body["key"], body.get("range_end"))
+        keys = self._keys_in_range(body["key"], body.get("range_end"))
         keys.sort(key=base64.b64decode, reverse=body.get("sort_order") == "DESCEND")
         limit = int(body.get("limit", 0))
         found = [self._render(key) for key in keys[: limit or None]]
-        return self._answer({"kvs": found, "count": str(len(keys))})
+        return self._json_response({"kvs": found, "count": str(len(keys))})
 
-    def _select(self, start: str, end: str | None) -> list[str]:
+    def _keys_in_range(self, start: str, end: str | None) -> list[str]:
         if not end:
             return [start] if start in self._keys else []
         low, high = base64.b64decode(start), base64.b64decode(end)
@@ -147,30 +148,30 @@
         body = await request.json()
         if not self._leases_exist(body.get("success", [])):
             return web.json_response({"error": "lease not found", "code": 5}, status=404)
-        holds = all(self._compare(item) for item in body.get("compare", []))
-        for operation in body.get("success" if holds else "failure", []):
-            self._carry_out(operation)
-        if self.faults.take_lost_answer():
+        conditions_hold = all(self._is_revision_current(item) for item in body.get("compare", []))
+        for operation in body.get("success" if conditions_hold else "failure", []):
+            self._apply_operation(operation)
+        if self.faults.consume_lost_answer():
             return lose_answer(request)
-        return self._answer({"succeeded": holds})
+        return self._json_response({"succeeded": conditions_hold})
 
     def _leases_exist(self, operations: list[dict[str, Any]]) -> bool:
         named = [int(op.get("request_put", {}).get("lease", 0)) for op in operations]
         return all(lease == 0 or lease in self._leases for lease in named)
 
-    def _compare(self, item: dict[str, Any]) -> bool:
+    def _is_revision_current(self, item: dict[str, Any]) -> bool:
         stored = self._keys.get(item["key"])
         current = stored.mod_revision if stored else 0
         return current == int(item["mod_revision"])
 
-    def _carry_out(self, operation: dict[str, Any]) -> None:
+    def _apply_operation(self, operation: dict[str, Any]) -> None:
         if "request_put" in operation:
             put = operation["request_put"]
             self._put(put["key"], put["value"], int(put.get("lease", 0)))
         if "request_delete_range" in operation:
             self._delete(operation["request_delete_range"]["key"])
 
-    def _answer(self, body: dict[str, Any]) -> web.Response:
+    def _json_response(self, body: dict[str, Any]) -> web.Response:
         return web.json_response({"header": {"revision": str(self._revision)}, **body})
 
     # --- leases
@@ -179,21 +180,23 @@
         seconds = float((await request.json())["TTL"])
         identifier = next(self._lease_ids)
         self._leases[identifier] = Lease(seconds, time.monotonic() + seconds)
-        if self.faults.take_lost_answer():
+        if self.faults.consume_lost_answer():
             return lose_answer(request)
-        return self._answer({"ID": str(identifier), "TTL": str(int(seconds))})
+        return self._json_response({"ID": str(identifier), "TTL": str(int(seconds))})
 
     async def _keep_alive(self, request: web.Request) -> web.Response:
         identifier = int((await request.json())["ID"])
         lease = self._leases.get(identifier)
         if lease is None:
-            return self._answer({"result": {"ID": str(identifier)}})
+            return self._json_response({"result": {"ID": str(identifier)}})
         lease.expires = time.monotonic() + lease.seconds
-        return self._answer({"result": {"ID": str(identifier), "TTL": str(int(lease.seconds))}})
+        return self._json_response(
+            {"result": {"ID": str(identifier), "TTL": str(int(lease.seconds))}}
+        )
 
     async def _revoke(self, request: web.Request) -> web.Response:
         self._end_lease(int((await request.json())["ID"]))
-        return self._answer({})
+        return self._json_response({})
 
     # --- watches
 
@@ -215,10 +218,10 @@
                     continue
                 await response.write(msgspec.json.encode({"result": {"events": [event]}}) + b"\n")
         except ConnectionError:
-            pass  # the watcher left
+            pass  # the client closed the watch
         finally:
             self._watchers.discard(entry)
         return response
 
-    async def _account(self, _request: web.Request) -> web.Response:
+    async def _report_state(self, _request: web.Request) -> web.Response:
         return web.json_response({"keys": len(self._keys)})
