--- a/src/crankseam_standins/machine_list.py
+++ b/src/crankseam_standins/machine_list.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's machine list: serves what it was told, late.
+"""Stand-in for the platform's machine list, which shows each update only after a delay.
 
-Owns the list and its lag, in seconds.
+Holds the versions of the list and the delay in seconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MachineListStandin:
-    """`PUT /_machines` sets the truth; `GET /machines` shows it after the lag."""
+    """`PUT /_machines` replaces the list; `GET /machines` shows it after the delay."""
 
     def __init__(self, lag: float) -> None:
         self.faults = Faults()
@@ -22,7 +22,7 @@
         self._versions: list[tuple[float, list[dict[str, Any]]]] = [(0.0, [])]
 
     def application(self) -> web.Application:
-        """The HTTP application."""
+        """Return the HTTP application with all routes."""
         app = web.Application()
         self.faults.add_routes(app)
         app.router.add_put("/_machines", self._set)
@@ -34,6 +34,6 @@
         return web.json_response({})
 
     async def _list(self, _request: web.Request) -> web.Response:
-        visible = time.monotonic() - self._lag
-        shown = [machines for at, machines in self._versions if at <= visible]
+        cutoff = time.monotonic() - self._lag
+        shown = [machines for at, machines in self._versions if at <= cutoff]
         return web.json_response({"machines": shown[-1] if shown else []})
