--- a/src/crankseam_standins/main.py
+++ b/src/crankseam_standins/main.py
@@ -1,4 +1,4 @@
-"""The `crankseam-standin` command: one outside system a process."""
+"""The `crankseam-standin` command: runs one emulated external system per process."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     return parser
 
 
-def _application(arguments: argparse.Namespace) -> web.Application:
+def _build_application(arguments: argparse.Namespace) -> web.Application:
     account = Account(arguments.account)
     if arguments.kind == "key-value":
         return KeyValueStandin().application()
@@ -67,7 +67,7 @@
 
 
 async def _serve(arguments: argparse.Namespace) -> None:
-    runner = web.AppRunner(_application(arguments), access_log=None, shutdown_timeout=0.2)
+    runner = web.AppRunner(_build_application(arguments), access_log=None, shutdown_timeout=0.2)
     await runner.setup()
     await web.TCPSite(runner, arguments.host, arguments.port, backlog=1024).start()
     stop = asyncio.Event()
@@ -89,7 +89,7 @@
 
 
 def main() -> int:
-    """Run one stand-in until it is told to stop, or (clients) until its plan is done."""
+    """Run one stand-in: a server until SIGTERM or SIGINT, a client until its plan is complete."""
     arguments = _build_parser().parse_args()
     work = _run_client if arguments.kind in ("trainer", "caller") else _serve
     uvloop.install()
