--- a/src/crankseam_standins/memory_store.py
+++ b/src/crankseam_standins/memory_store.py
@@ -1,8 +1,8 @@
-"""An in-memory coordination store with revisions, leases, watches and faults to switch on.
+"""An in-memory coordination store with revisions, leases, watches and fault injection.
 
-Implements `crankseam.coordination.interface.CoordinationStore`; shared by all its clients in one
-process, and served over the platform's wire by `crankseam_platform_standins.store_server`.
-Durations are seconds of the monotonic clock; a lease that ran out is noticed at the next call.
+Implements `crankseam.coordination.interface.CoordinationStore`. All clients in one process share
+one instance; `crankseam_platform_standins.store_server` serves it over the platform's protocol.
+Durations are in seconds of the monotonic clock. An expired lease is removed at the next call.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 from crankseam.errors import KeyValueOutcomeUnknown, KeyValueUnavailable
 
 PAGE_ENTRIES = 3
-"""Few, so that tests read more than one page."""
+"""Small, so that tests have to read more than one page."""
 
 
 @dataclass
 class Faults:
-    """What goes wrong; each field is switched on from outside."""
+    """Active faults of the store, which tests and the store server set directly."""
 
     down: bool = False
     lose_answers: int = 0
-    """So many of the next transactions are done but not answered."""
+    """Number of next transactions that are applied but end with an unknown outcome."""
     late: int = 0
-    """So many of the next transactions are not answered and done when `release_late` is called."""
+    """Number of next transactions that end with an unknown outcome and wait for `release_late`."""
     compacted: bool = False
     deaf: bool = False
-    """Watches that are asked now hear nothing and are never answered."""
+    """Whether new watches block forever without returning changes."""
     hears_nothing: bool = False
-    """Watches that end now say that there was nothing, whatever was."""
+    """Whether watches omit all changes and so return an empty result when they time out."""
 
 
 @dataclass
 class MemoryStore:
-    """Shared by all its clients."""
+    """In-memory coordination store, shared by all its clients in one process."""
 
     faults: Faults = field(default_factory=Faults)
     revision: int = 1
@@ -57,38 +57,38 @@
 
     def __post_init__(self) -> None:
         self._leases: dict[int, tuple[float, float]] = {}
-        self._numbers = itertools.count(1)
+        self._lease_numbers = itertools.count(1)
         self._changed = asyncio.Event()
-        self._late: list[Transaction] = []
+        self._delayed: list[Transaction] = []
 
     # --- faults
 
     def release_late(self) -> None:
-        """Do the transactions that were held back, as far as their conditions still hold."""
-        late, self._late = self._late, []
+        """Apply the delayed transactions whose conditions still hold and discard the others."""
+        late, self._delayed = self._delayed, []
         for transaction in late:
             if not self._conflict(transaction):
-                self._do(transaction)
+                self._apply(transaction)
 
     def expire_lease(self, lease: int) -> None:
-        """End a lease now and remove its keys."""
+        """End a lease immediately and remove its keys."""
         self._leases.pop(lease, None)
         for key in [key for key, entry in self.entries.items() if entry.lease == lease]:
             self._remove(key)
 
     def force(self, transaction: Transaction) -> None:
-        """Do a transaction at once, whatever its conditions and the store's faults.
+        """Apply a transaction immediately, ignoring its conditions and the injected faults.
 
-        For writers whom the faults do not concern: operators, discovery, trainers.
+        For writers that the faults must not affect: operators, discovery and trainers.
         """
-        self._do(transaction)
+        self._apply(transaction)
 
     # --- CoordinationStore
 
-    def _arrive(self) -> None:
+    def _begin_call(self) -> None:
         self.calls += 1
         if self.faults.down:
-            raise KeyValueUnavailable("down")
+            raise KeyValueUnavailable("the store is down")
         now = time.monotonic()
         for lease, (end, _) in list(self._leases.items()):
             if end < now:
@@ -97,13 +97,13 @@
     async def get(self, key: str) -> Entry | None:
         """See CoordinationStore."""
         await asyncio.sleep(0)
-        self._arrive()
+        self._begin_call()
         return self.entries.get(key)
 
     async def page(self, prefix: str, after_key: str = "") -> Page:
         """See CoordinationStore."""
         await asyncio.sleep(0)
-        self._arrive()
+        self._begin_call()
         keys = sorted(key for key in self.entries if key.startswith(prefix) and key > after_key)
         found = [self.entries[key] for key in keys[:PAGE_ENTRIES]]
         return Page(found, len(keys) > PAGE_ENTRIES, self.revision)
@@ -115,7 +115,7 @@
             await asyncio.Event().wait()
         while True:
             await asyncio.sleep(0)
-            self._arrive()
+            self._begin_call()
             if self.faults.compacted:
                 self.faults.compacted = False
                 raise HistoryCompacted(prefix)
@@ -133,26 +133,26 @@
                 async with asyncio.timeout(min(0.02, max(0.0, end - time.monotonic()))):
                     await self._changed.wait()
             except TimeoutError:
-                pass  # time to look whether the wait is over
+                pass  # check again whether the wait is over
 
     async def commit(self, transaction: Transaction) -> int:
         """See CoordinationStore."""
         await asyncio.sleep(0)
-        self._arrive()
+        self._begin_call()
         if self.faults.late:
             self.faults.late -= 1
-            self._late.append(transaction)
-            raise KeyValueOutcomeUnknown("late")
+            self._delayed.append(transaction)
+            raise KeyValueOutcomeUnknown("the transaction was delayed")
         conflict = self._conflict(transaction)
         if conflict is not None:
             raise conflict
         for put in transaction.puts:
             if put.lease and put.lease not in self._leases:
                 raise LeaseExpired(str(put.lease))
-        revision = self._do(transaction)
+        revision = self._apply(transaction)
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
-            raise KeyValueOutcomeUnknown("answer lost")
+            raise KeyValueOutcomeUnknown("the response was lost")
         return revision
 
     def _conflict(self, transaction: Transaction) -> TransactionConflict | None:
@@ -167,7 +167,7 @@
                 return TransactionConflict(found)
         return None
 
-    def _do(self, transaction: Transaction) -> int:
+    def _apply(self, transaction: Transaction) -> int:
         self.revision += 1
         for put in transaction.puts:
             known = self.entries.get(put.key)
@@ -192,15 +192,15 @@
     async def grant_lease(self, duration: float) -> GrantedLease:
         """See CoordinationStore."""
         await asyncio.sleep(0)
-        self._arrive()
-        number = next(self._numbers)
+        self._begin_call()
+        number = next(self._lease_numbers)
         self._leases[number] = (time.monotonic() + duration, duration)
         return GrantedLease(number, duration)
 
     async def renew_lease(self, lease: int) -> float:
         """See CoordinationStore."""
         await asyncio.sleep(0)
-        self._arrive()
+        self._begin_call()
         if lease not in self._leases:
             raise LeaseExpired(str(lease))
         duration = self._leases[lease][1]
@@ -210,5 +210,5 @@
     async def end_lease(self, lease: int) -> None:
         """See CoordinationStore."""
         await asyncio.sleep(0)
-        self._arrive()
+        self._begin_call()
         self.expire_lease(lease)
