--- a/src/crankseam_standins/ports.py
+++ b/src/crankseam_standins/ports.py
@@ -1,6 +1,6 @@
-"""Loopback ports for listeners that start later.
+"""Chooses loopback ports for listeners that start later.
 
-Owns the ports that this process gave out, so that it gives none out twice.
+Records the ports that this process has assigned, so that none is assigned twice.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 DEFAULT_FIRST_EPHEMERAL = 32768
-"""First port of the range that Linux gives outgoing connections by default."""
+"""First port of the default ephemeral range of Linux, used if the range cannot be read."""
 CANDIDATES = 12000
-"""Ports below the ephemeral ones that are drawn from."""
+"""Number of ports directly below the ephemeral range from which a port is chosen."""
 
-_handed_out: set[int] = set()
+_assigned_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """A port that nothing listens on and that no outgoing connection is given.
+    """Return a port that is not in use and lies below the ephemeral range.
 
-    A port of the ephemeral range may become the near end of any connection of this machine between
-    this call and the listener's start.
+    The kernel could assign a port of the ephemeral range to an outgoing connection between this
+    call and the start of the listener.
     """
     first = _first_ephemeral()
     while True:
         port = random.randrange(first - CANDIDATES, first)
-        if port not in _handed_out and _is_free(port):
-            _handed_out.add(port)
+        if port not in _assigned_ports and _is_free(port):
+            _assigned_ports.add(port)
             return port
 
 
