--- a/src/crankseam_standins/prefix_cache.py
+++ b/src/crankseam_standins/prefix_cache.py
@@ -1,7 +1,7 @@
 """Prefix cache of the sampler emulator.
 
-Owns the blocks of prompts in the emulated memory, least recently used first out. Words stand for
-tokens.
+Holds the prompt blocks in the emulated memory and evicts the least recently used ones. Each word of
+a prompt counts as one token.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class PrefixCache:
-    """Blocks of prompt prefixes in limited memory, least recently used first out."""
+    """Set of prompt prefix blocks of limited size with least-recently-used eviction."""
 
     def __init__(self, blocks: int, block_tokens: int) -> None:
         self._blocks: OrderedDict[str, None] = OrderedDict()
@@ -18,7 +18,7 @@
         self._block_tokens = block_tokens
 
     def cached_tokens(self, prompt: str) -> int:
-        """Leading tokens (words stand for tokens) found in the cache; the rest is added."""
+        """Return the number of leading tokens in the cache, and add the prompt's other blocks."""
         words = prompt.split()
         hits = 0
         unbroken = True
