--- a/src/crankseam_standins/replacing.py
+++ b/src/crankseam_standins/replacing.py
@@ -1,7 +1,7 @@
-"""Replaces a part of a program from outside, for control runs that lack one mechanism.
+"""Replaces an attribute of a program at run time, for control runs that disable one mechanism.
 
-Relies on the part's name: where that has changed, the replacement fails at once, since a control
-run whose mechanism still works would prove nothing.
+The replacement fails immediately if no attribute has the given name, for instance after a rename:
+a control run in which the mechanism still works would prove nothing.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 
 def replace_attribute(owner: Any, name: str, replacement: Any) -> None:
-    """Replace an attribute of a module or class.
+    """Replace an existing attribute of a module or class.
 
     Raises
     ======
 
-    AttributeError : there is none of that name.
+    AttributeError : The module or class has no attribute of that name.
     """
     getattr(owner, name)
     setattr(owner, name, replacement)
