--- a/src/crankseam_standins/sampler.py
+++ b/src/crankseam_standins/sampler.py
@@ -1,9 +1,10 @@
-"""Emulator of a model engine: continuous batching, prefix cache, priorities, fenced orders.
+"""Emulator of an inference engine: continuous batching, prefix cache, priorities, fenced orders.
 
-Owns the engine's queue, its running sequences and its weights. Its times are assumptions
-(`sampler_parameters`), divided by the time scale. A whole sample can be worked out from its
-prompt, so the auditor can check each token. Samplers of the users' platform have a stand-in of
-their own, another wire without an engine: `crankseam_platform_standins.sampler_server`.
+Holds the engine's queue, its running sequences and the versions of its weights. Step times are
+assumptions (see `sampler_parameters`), divided by the time scale. A sample is a function of its
+prompt, so that the auditor can check each token. The samplers of the users' platform have a
+separate stand-in with another protocol and no engine:
+`crankseam_platform_standins.sampler_server`.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 from crankseam_standins.sampler_parameters import SamplerParameters
 
 VOCABULARY = 50_000
-"""Tokens are numbers below this."""
+"""Token ids are integers from 0 up to, but not including, this number."""
 MIN_SLEEP_S = 0.001
-"""Shorter steps are added up and slept at once."""
-NO_BOUND = 1_000_000
-"""Tokens; more than any sample has."""
+"""Steps shorter than this accumulate into one sleep."""
+UNLIMITED_TOKENS = 1_000_000
+"""A number of tokens larger than the length of any sample."""
 
 
 def sample_length(parameters: SamplerParameters, prompt: str, max_tokens: int) -> int:
-    """Length of the sample for a prompt `group|rest`: the same prompt gives the same length.
+    """Return the sample length in tokens for a prompt of the form `group|rest`.
 
-    `max_tokens` bounds the whole sample.
+    The same prompt always gives the same length. `max_tokens` limits the whole sample.
     """
     group, _, _ = prompt.partition("|")
     group_random = random.Random(f"group {group}")
@@ -49,21 +50,21 @@
 
 
 def token_at(prompt: str, position: int) -> int:
-    """The token at a position: a whole sample can be checked against it."""
+    """Return the token at a position of the sample for a prompt, for generation and checking."""
     digest = hashlib.blake2b(f"{prompt}/{position}".encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") % VOCABULARY
 
 
 @dataclass(eq=False)
 class Sequence:
-    """One completion being generated."""
+    """One completion that is queued or being generated."""
 
     request_id: str
     prompt: str
     priority: int
     position: int
     length: int
-    order: int
+    arrival_number: int
     events: asyncio.Queue = field(default_factory=asyncio.Queue)
     pending: list[int] = field(default_factory=list)
     pending_version: int = 0
@@ -73,14 +74,14 @@
 
 
 class SamplerStandin:
-    """One engine."""
+    """One emulated inference engine with its HTTP interface."""
 
     def __init__(
         self, name: str, parameters: SamplerParameters, version: int, account: Account
     ) -> None:
         self.name = name
         self.faults = Faults()
-        self.faults.on_order = self._on_order
+        self.faults.on_order = self._on_fault_order
         self._parameters = parameters
         self.serving = version
         self._loaded = [version]
@@ -88,12 +89,12 @@
         self._fence = 0
         self._waiting: list[Sequence] = []
         self._running: list[Sequence] = []
-        self._orders = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._wake = asyncio.Event()
         self._cache = PrefixCache(
             parameters.kv_tokens // parameters.prefix_block // 2, parameters.prefix_block
         )
-        self._reports: deque[tuple[float, int, int]] = deque(maxlen=1000)
+        self._load_history: deque[tuple[float, int, int]] = deque(maxlen=1000)
         self._paused_until = 0.0
         self._loop_task: asyncio.Task[None] | None = None
         self._session: aiohttp.ClientSession
@@ -103,7 +104,7 @@
         self._started = time.time()
 
     def application(self) -> web.Application:
-        """The HTTP application."""
+        """Return the HTTP application with all routes."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         self.faults.add_routes(app)
         app.router.add_post("/v1/completions", self._complete)
@@ -111,7 +112,7 @@
         app.router.add_post("/admin/switch", self._switch)
         app.router.add_get("/admin/state", self._state)
         app.router.add_get("/metrics", self._metrics)
-        app.router.add_get("/_account", self._account)
+        app.router.add_get("/_account", self._report_state)
         app.on_startup.append(self._start)
         app.on_cleanup.append(self._stop)
         return app
@@ -128,7 +129,7 @@
     def _scaled(self, seconds: float) -> float:
         return seconds / self._parameters.time_scale
 
-    def _on_order(self, order: FaultOrder) -> None:
+    def _on_fault_order(self, order: FaultOrder) -> None:
         for sequence in self._running[: self.faults.break_streams]:
             sequence.cancelled = True
             sequence.events.put_nowait(None)
@@ -137,11 +138,11 @@
     # --- the engine's loop
 
     async def _run_engine(self) -> None:
-        owed = 0.0
+        unslept_seconds = 0.0
         while True:
             if not self._running and not self._waiting:
                 self._wake.clear()
-                self._note_load()
+                self._record_load()
                 await self._wake.wait()
             pause = self._paused_until - time.monotonic()
             if pause > 0:
@@ -149,22 +150,22 @@
             self._admit()
             seconds = self._step()
             self.busy_seconds += seconds
-            self._note_load()
-            # Very short steps are slept in one go, so that scaled time stays exact on average.
-            owed += self._scaled(seconds)
-            if owed >= MIN_SLEEP_S:
+            self._record_load()
+            # Very short steps share one sleep, so that the scaled time is exact on average.
+            unslept_seconds += self._scaled(seconds)
+            if unslept_seconds >= MIN_SLEEP_S:
                 before = time.monotonic()
-                await asyncio.sleep(owed)
-                owed -= time.monotonic() - before
+                await asyncio.sleep(unslept_seconds)
+                unslept_seconds -= time.monotonic() - before
             else:
                 await asyncio.sleep(0)
 
     def _admit(self) -> None:
         self._waiting = [sequence for sequence in self._waiting if not sequence.cancelled]
-        self._waiting.sort(key=lambda sequence: (sequence.priority, sequence.order))
-        memory = sum(sequence.position for sequence in self._running)
+        self._waiting.sort(key=lambda sequence: (sequence.priority, sequence.arrival_number))
+        kv_tokens_used = sum(sequence.position for sequence in self._running)
         while self._waiting and len(self._running) < self._parameters.max_running:
-            if memory + self._waiting[0].position >= self._parameters.kv_tokens:
+            if kv_tokens_used + self._waiting[0].position >= self._parameters.kv_tokens:
                 break
             sequence = self._waiting.pop(0)
             words = len(sequence.prompt.split()) + sequence.position
@@ -173,7 +174,7 @@
             self._running.append(sequence)
 
     def _step(self) -> float:
-        """Advance every running sequence by one token; returns the emulated seconds."""
+        """Advance every running sequence by one token; return the emulated duration in seconds."""
         parameters = self._parameters
         prefill = sum(sequence.prefill_tokens for sequence in self._running)
         seconds = prefill * parameters.prefill_per_token
@@ -238,10 +239,10 @@
         if self.faults.leaving:
             return web.Response(status=503, headers={"Retry-After": "5"})
         prior = body.get("prior_token_ids", [])
-        # max_tokens bounds this completion; a natural end before it is told apart by the reason.
+        # max_tokens limits this completion; finish_reason tells a natural end from truncation.
         bound = len(prior) + body["max_tokens"]
-        length = sample_length(self._parameters, body["prompt"], NO_BOUND)
-        cut_short = length > bound
+        length = sample_length(self._parameters, body["prompt"], UNLIMITED_TOKENS)
+        is_truncated = length > bound
         length = min(length, bound)
         sequence = Sequence(
             request_id=body["request_id"],
@@ -249,8 +250,8 @@
             priority=body.get("priority", 0),
             position=min(len(prior), max(0, length - 1)),
             length=length,
-            order=next(self._orders),
-            finish_reason="length" if cut_short else "stop",
+            arrival_number=next(self._arrival_numbers),
+            finish_reason="length" if is_truncated else "stop",
         )
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
@@ -259,7 +260,7 @@
         try:
             await self._stream(response, sequence)
         except ConnectionError:
-            pass  # the caller left: its sequence is cancelled below
+            pass  # the caller disconnected; its sequence is cancelled below
         finally:
             sequence.cancelled = True
         return response
@@ -277,7 +278,7 @@
 
     # --- orders
 
-    def _refuse_fence(self, fence: int) -> web.Response | None:
+    def _check_fence(self, fence: int) -> web.Response | None:
         if fence < self._fence:
             return web.json_response({"fence": self._fence}, status=409)
         self._fence = fence
@@ -285,7 +286,7 @@
 
     async def _load(self, request: web.Request) -> web.Response:
         body = await request.json()
-        refusal = self._refuse_fence(body["fence"])
+        refusal = self._check_fence(body["fence"])
         if refusal is not None:
             return refusal
         version = body["version"]
@@ -310,7 +311,7 @@
 
     async def _switch(self, request: web.Request) -> web.Response:
         body = await request.json()
-        refusal = self._refuse_fence(body["fence"])
+        refusal = self._check_fence(body["fence"])
         if refusal is not None:
             return refusal
         if body["version"] not in self._loaded:
@@ -333,26 +334,26 @@
 
     # --- reports
 
-    def _note_load(self) -> None:
-        self._reports.append((time.monotonic(), len(self._running), len(self._waiting)))
+    def _record_load(self) -> None:
+        self._load_history.append((time.monotonic(), len(self._running), len(self._waiting)))
 
     async def _metrics(self, _request: web.Request) -> web.Response:
-        visible = time.monotonic() - self._parameters.report_lag
+        cutoff = time.monotonic() - self._parameters.report_lag
         running, waiting = 0, 0
-        for at, running_then, waiting_then in reversed(self._reports):
-            if at <= visible:
+        for at, running_then, waiting_then in reversed(self._load_history):
+            if at <= cutoff:
                 running, waiting = running_then, waiting_then
                 break
-        lines = {
+        gauges = {
             "vllm:num_requests_running": running,
             "vllm:num_requests_waiting": waiting,
             "sampler:weight_version": self.serving,
             "sampler:leaving": int(self.faults.leaving),
         }
-        text = "".join(f"# TYPE {k} gauge\n{k} {v}\n" for k, v in lines.items())
+        text = "".join(f"# TYPE {k} gauge\n{k} {v}\n" for k, v in gauges.items())
         return web.Response(text=text)
 
-    async def _account(self, _request: web.Request) -> web.Response:
+    async def _report_state(self, _request: web.Request) -> web.Response:
         return web.json_response(
             {
                 "name": self.name,
