--- a/src/crankseam_standins/sampler_parameters.py
+++ b/src/crankseam_standins/sampler_parameters.py
@@ -1,10 +1,11 @@
-"""Parameters of the sampler emulator, and where each number comes from.
+"""Parameters of the sampler emulator and the assumptions behind them.
 
-The users' brief leaves engine step times out, so these are assumptions of this project, chosen
-to have the shape that is publicly known of continuously batching engines: a decode step costs a
-fixed part (reading the weights) and a small part for each running sequence; a prefill costs in
-proportion to the prompt tokens that are not in the prefix cache. None of them was measured on an
-accelerator. `time_scale` divides all times, so that experiments run faster than life.
+The users' requirements do not state engine step times, so these values are assumptions and not
+measurements on an accelerator. They follow the publicly known cost model of engines with
+continuous batching: a decode step has a fixed cost (reading the weights) plus a small cost for each
+running sequence, and the cost of a prefill is proportional to the number of prompt tokens that are
+not in the prefix cache. `time_scale` divides the times, so that experiments run faster than real
+time.
 """
 
 from __future__ import annotations
@@ -14,33 +15,33 @@
 
 @dataclass(frozen=True)
 class SamplerParameters:
-    """All numbers of the emulator. Times are seconds before scaling."""
+    """Parameters of the emulator. Times are in seconds before scaling."""
 
     decode_step_fixed: float = 0.020
-    """Assumed: 50 steps a second at batch size 1."""
+    """Assumed: about 50 steps per second at batch size 1."""
     decode_step_per_sequence: float = 0.00015
-    """Assumed: 64 running sequences make a step half as long again."""
+    """Assumed: 64 running sequences make a decode step about 1.5 times as long."""
     prefill_per_token: float = 0.00005
-    """Assumed: 20,000 prompt tokens a second."""
+    """Assumed: 20,000 prompt tokens per second."""
     max_running: int = 64
-    """Sequences in the batch; further ones wait, by priority."""
+    """Maximum number of sequences in the batch; further ones wait in order of priority."""
     kv_tokens: int = 262_144
-    """Assumed KV memory: 64 sequences of 4,096 tokens."""
+    """Assumed capacity of the KV cache in tokens: 64 sequences of 4,096 tokens."""
     prefix_block: int = 16
-    """Tokens of one cached prefix block."""
+    """Number of tokens in one cached prefix block."""
     chunk_tokens: int = 8
-    """Tokens sent in one event; fewer events keep the emulator cheap."""
+    """Number of tokens sent in one event; fewer events reduce the cost of the emulation."""
     load_seconds: float = 20.0
-    """Assumed: a staged load of weights beside the served ones."""
+    """Assumed: time to load new weights while the current ones are served."""
     switch_seconds: float = 0.5
-    """Assumed: swapping pointers and recomputing running sequences' KV cache."""
+    """Assumed: time to swap pointers and recompute the KV cache of the running sequences."""
     report_lag: float = 0.3
-    """Load reports show the state of this long ago. Not scaled."""
+    """Age of the state that a load report shows. Not scaled."""
     median_length: int = 200
-    """Median sample length in tokens; the workload's own, not the engine's."""
+    """Median sample length in tokens, a property of the workload and not of the engine."""
     length_sigma: float = 0.8
-    """Sigma of the log-normal over prompt groups: p99 is about 6.4 times the median."""
+    """Sigma of the log-normal distribution over groups: p99 is about 6.4 times the median."""
     group_sigma: float = 0.25
-    """Sigma of the log-normal within a group."""
+    """Sigma of the log-normal distribution within a prompt group."""
     time_scale: float = 1.0
-    """Emulated seconds for each real second."""
+    """Emulated seconds per real second."""
