--- a/src/crankseam_standins/weight_store.py
+++ b/src/crankseam_standins/weight_store.py
@@ -1,6 +1,6 @@
-"""Stand-in of the weight store: an index, and ranged reads under a rate limit.
+"""Stand-in for the weight store: an index of versions and range reads under a rate limit.
 
-Owns the published versions by pool; the weights themselves are zeros.
+Holds the published versions of each pool. The content of the weights is all zeros.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from crankseam_standins.faults import Faults
 
 WEIGHT_BYTES = 64 * 1024
-"""Stand-in weights are small; the time a load takes is the sampler's parameter."""
+"""Small, because the sampler's parameters determine the duration of a load, not the size."""
 
 
 class WeightStoreStandin:
-    """`POST /_publish/{pool}/{version}` publishes; readers poll the index."""
+    """`POST /_publish/{pool}/{version}` publishes a version; readers poll the index."""
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -22,7 +22,7 @@
         self.reads = 0
 
     def application(self) -> web.Application:
-        """The HTTP application."""
+        """Return the HTTP application with all routes."""
         app = web.Application()
         self.faults.add_routes(app)
         app.router.add_post("/_publish/{pool}/{version}", self._publish)
