--- a/src/crankseam_standins/memory_store.py
+++ b/src/crankseam_standins/memory_store.py
@@ -142,7 +142,7 @@
         if self.faults.late:
             self.faults.late -= 1
             self._delayed.append(transaction)
-            raise KeyValueOutcomeUnknown("the transaction was delayed")
+            raise KeyValueOutcomeUnknown("late")
         conflict = self._conflict(transaction)
         if conflict is not None:
             raise conflict
