--- a/tests/controllers/test_duty.py
+++ b/tests/controllers/test_duty.py
@@ -56,7 +56,7 @@
     await eventually(duty.is_held)
     platform.key_value.faults.down_until = float("inf")
     await eventually(lambda: not duty.is_held(), "gave up while the service was down")
-    platform.key_value._on_order(FaultOrder(lapse_leases=True))
+    platform.key_value._on_fault_order(FaultOrder(lapse_leases=True))
     platform.key_value.faults.down_until = 0.0
     fence = duty.fence
     await eventually(lambda: duty.is_held() and duty.fence != fence, "acquired anew")
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -171,7 +171,7 @@
 
     @rule()
     def lapse_leases(self):
-        self.platform.key_value._on_order(FaultOrder(lapse_leases=True))
+        self.platform.key_value._on_fault_order(FaultOrder(lapse_leases=True))
 
     @rule(app=st.integers(0, 2), count=st.integers(1, 2))
     def lose_app_answers(self, app, count):
